--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ChunkReading.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ChunkReader.kt
@@ -12,11 +12,11 @@
 import kotlinx.collections.immutable.persistentMapOf
 import kotlinx.collections.immutable.toPersistentMap
 
-/** Reads the chunks of a higher generation and puts it into effect. */
-internal class ChunkReading(context: StepContext) {
-    private val adoption = Adoption(context)
+/** Reads the chunks of a configuration with a higher generation from the platform's store and installs it. */
+internal class ChunkReader(context: StepContext) {
+    private val installer = ConfigurationInstaller(context)
 
-    /** Reads the chunks of [root] that differ from those of the configuration in effect. */
+    /** Starts to read the chunks of [root] that the configuration in effect does not have. */
     fun start(state: ProxyState, root: ConfigurationRoot): StoreProgress {
         val known = knownChunks(state).filterKeys { it in root.chunkHashes }.toPersistentMap()
         val missing = root.chunkHashes.distinct().filterNot { it in known }
@@ -34,7 +34,7 @@
         return if (missing.isEmpty()) complete(started, phase) else StoreProgress.Continues(Step(started, effects))
     }
 
-    /** Handles the answer to the reading of one chunk. */
+    /** Handles the answer to the read of one chunk. */
     fun answered(
         state: ProxyState,
         phase: StorePhase.ReadingChunks,
@@ -55,7 +55,7 @@
             success = { configuration ->
                 if (configuration.generation == phase.root.generation) {
                     val changes = phase.root.recentChanges
-                    val step = adoption.adopt(state, configuration, changes, ConfigurationSource.PLATFORM)
+                    val step = installer.install(state, configuration, changes, ConfigurationSource.PLATFORM)
                     StoreProgress.Finished(step)
                 } else {
                     StoreProgress.Failed(Step(state), "configuration chunks belong to another generation")
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationChanges.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationChanges.kt
@@ -6,7 +6,7 @@
 import dev.hibiscusreach.core.model.Inventory
 import dev.hibiscusreach.core.model.Rules
 
-/** Computes and applies the changes that proxies send each other instead of the whole configuration. */
+/** Computes and applies the changes that proxies send to each other in place of the whole configuration. */
 internal object ConfigurationChanges {
     /** The change that turns [before] into [after]. */
     fun between(before: Configuration, after: Configuration): ConfigurationChange {
@@ -32,7 +32,7 @@
         )
     }
 
-    /** Applies those of [changes] that follow on from [configuration], in order. */
+    /** Applies [changes] in order; a change that is not based on the current generation is skipped. */
     fun applyAll(configuration: Configuration, changes: List<ConfigurationChange>): Configuration =
         changes.fold(configuration) { current, change ->
             if (change.base == current.generation) apply(current, change) else current
@@ -66,8 +66,8 @@
 
     private fun <T, K> List<T>.merge(upserts: List<T>, removed: List<K>, key: (T) -> K): List<T> {
         val changed = upserts.associateByTo(linkedMapOf(), key)
-        val gone = removed.toSet()
-        val kept = filterNot { key(it) in gone }.map { changed.remove(key(it)) ?: it }
+        val removedKeys = removed.toSet()
+        val kept = filterNot { key(it) in removedKeys }.map { changed.remove(key(it)) ?: it }
         return kept + changed.values
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationCodec.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationCodec.kt
@@ -9,10 +9,10 @@
 import kotlinx.serialization.json.Json
 import java.security.MessageDigest
 
-/** A configuration as the platform's objects: the root and its chunks by hash. */
+/** A configuration as it is stored on the platform: the root and the chunks by their hash. */
 data class EncodedConfiguration(val root: ConfigurationRoot, val chunks: Map<String, String>)
 
-/** Why the platform's objects could not be read as a configuration. */
+/** Why the platform's objects could not be decoded as a configuration. */
 sealed interface ConfigurationDecodingError {
     /** A chunk that the root names is missing. */
     data class MissingChunk(val hash: String) : ConfigurationDecodingError
@@ -20,39 +20,39 @@
     /** A chunk's content does not have the hash under which it is stored. */
     data class WrongHash(val hash: String) : ConfigurationDecodingError
 
-    /** The content is not a configuration. */
+    /** The content is not the JSON of a configuration or of its root. */
     data class Malformed(val reason: String) : ConfigurationDecodingError
 }
 
-/** Converts between a [Configuration] and the objects that the platform keeps. */
+/** Converts between a [Configuration] and the objects in the platform's store. */
 object ConfigurationCodec {
     /** Key of the root object. */
     const val ROOT_KEY: String = "configuration/root"
 
-    /** Largest chunk in characters; at most 4 bytes each, so that a chunk stays below the platform's megabyte. */
+    /** Maximum characters of a chunk. With up to 4 bytes each it stays below the platform's limit of 1 MB. */
     const val MAXIMUM_CHUNK_LENGTH: Int = 64 * 1024
 
-    /** Edits that the root remembers, so that an edit sent again is recognized. */
-    const val REMEMBERED_CHANGES: Int = 64
+    /** Edit identifiers that the root keeps, so that an edit that is sent again is recognized. */
+    const val RETAINED_IDENTIFIERS: Int = 64
 
     private val json = Json { ignoreUnknownKeys = true }
 
     /** Key of the chunk with [hash]. */
     fun chunkKey(hash: String): String = "configuration/chunk/$hash"
 
-    /** The objects for [configuration]; [recentChanges] is cut to the latest [REMEMBERED_CHANGES]. */
+    /** Encodes [configuration]; the root keeps the latest [RETAINED_IDENTIFIERS] of [recentChanges]. */
     fun encode(configuration: Configuration, recentChanges: List<String>): EncodedConfiguration {
         val chunks = json.encodeToString(Configuration.serializer(), configuration).chunked(MAXIMUM_CHUNK_LENGTH)
         val root =
             ConfigurationRoot(
                 generation = configuration.generation,
                 chunkHashes = chunks.map(::hash),
-                recentChanges = recentChanges.takeLast(REMEMBERED_CHANGES),
+                recentChanges = recentChanges.takeLast(RETAINED_IDENTIFIERS),
             )
         return EncodedConfiguration(root, chunks.associateBy(::hash))
     }
 
-    /** The configuration that [root] and [chunks] hold. */
+    /** Decodes the configuration of [root] from [chunks], which are stored by hash. */
     fun decode(
         root: ConfigurationRoot,
         chunks: Map<String, String>,
@@ -66,10 +66,10 @@
         }
     }
 
-    /** The root as the value of its object. */
+    /** Encodes [root] as the value of the object with the key [ROOT_KEY]. */
     fun encodeRoot(root: ConfigurationRoot): String = json.encodeToString(ConfigurationRoot.serializer(), root)
 
-    /** The root from the value of its object. */
+    /** Decodes the root from the value of the object with the key [ROOT_KEY]. */
     fun decodeRoot(value: String): Result<ConfigurationRoot, ConfigurationDecodingError> =
         try {
             Ok(json.decodeFromString(ConfigurationRoot.serializer(), value))
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/Delivery.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationDelivery.kt
@@ -3,9 +3,9 @@
 import dev.hibiscusreach.core.event.PeerMessage
 import dev.hibiscusreach.core.model.Configuration
 
-/** The messages that bring a peer to the generation in effect. */
-internal object Delivery {
-    /** Only the changes since [haveGeneration] if they are remembered, or else the whole configuration in pages. */
+/** Builds the messages that bring a peer to the generation in effect. */
+internal object ConfigurationDelivery {
+    /** The changes since [haveGeneration] if they are kept and fit into one message, else the whole configuration. */
     fun messages(configuration: ConfigurationState, haveGeneration: Long): List<PeerMessage> {
         val changes = configuration.changes.dropWhile { it.base != haveGeneration }
         val isSmall = changes.sumOf(ConfigurationPages::weight) <= ConfigurationPages.MAXIMUM_WEIGHT
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationDifference.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationDifference.kt
@@ -7,7 +7,7 @@
 
 /** One entry in which two configurations differ. */
 sealed interface DifferenceEntry {
-    /** The entry, such as `server jobs-1`. */
+    /** Kind and name of the entry, such as `server jobs-1`. */
     val subject: String
 
     /** Only the later configuration has the entry. */
@@ -20,18 +20,18 @@
         override fun toString(): String = "removed $subject"
     }
 
-    /** Both configurations have the entry, with other values. */
+    /** Both configurations have the entry, with different values. */
     data class Changed(override val subject: String, val fields: List<FieldChange>) : DifferenceEntry {
         override fun toString(): String = "changed $subject: ${fields.joinToString()}"
     }
 }
 
-/** A field of an entry with its value in both configurations; `none` stands for a missing one. */
+/** A field of an entry with its value in both configurations; `none` stands for a missing value. */
 data class FieldChange(val field: String, val before: String, val after: String) {
     override fun toString(): String = "$field $before -> $after"
 }
 
-/** What was added, removed and changed between two configurations, in the order of their inventories. */
+/** The entries in which two configurations differ: removed ones, then added and changed ones in inventory order. */
 data class ConfigurationDifference(val entries: List<DifferenceEntry>) {
     /** Whether both configurations have the same content. */
     val isEmpty: Boolean get() = entries.isEmpty()
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationEdit.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationEdit.kt
@@ -6,7 +6,7 @@
 import dev.hibiscusreach.core.model.Inventory
 import dev.hibiscusreach.core.model.Rules
 
-/** The configuration that the platform's store has, as it was read before an edit. */
+/** The configuration in the platform's store, as it was read before an edit. */
 data class StoredConfiguration(
     /** The root, or null if nothing was stored yet. */
     val root: ConfigurationRoot? = null,
@@ -15,7 +15,7 @@
     val configuration: Configuration = Configuration(),
 )
 
-/** What an operator wants to change. */
+/** A change to the configuration that an operator requests. */
 data class RequestedChange(
     /** Identifies the change, so that it can be sent again if its answer was lost. */
     val identifier: String,
@@ -25,12 +25,12 @@
     val rules: Rules? = null,
 )
 
-/** What is to be done for a [RequestedChange]. */
+/** The result of preparing a [RequestedChange]. */
 sealed interface EditResult {
     /**
-     * The objects to put. All [chunks] come first; a version conflict of a chunk means that it is stored already. The
-     * change is accepted once [root] is stored. After a version conflict or a lost answer of the root, the stored
-     * configuration must be read and the change prepared again.
+     * The objects to write. All [chunks] must be written before [root]; a version conflict of a chunk means that it is
+     * stored already. The change is accepted once [root] is stored. If the write of the root meets a version conflict
+     * or its answer is lost, the stored configuration must be read and the change prepared again.
      */
     data class Prepared(
         val generation: Long,
@@ -42,30 +42,30 @@
     /** A change with the same identifier was accepted earlier; [generation] includes it. */
     data class AlreadyApplied(val generation: Long) : EditResult
 
-    /** The stored configuration has the requested content already, by another change. */
+    /** The stored configuration already has the requested content, because of another change. */
     data class NothingToChange(val generation: Long) : EditResult
 
     /** The requested content cannot be accepted. */
     data class Invalid(val faults: List<InventoryFault>) : EditResult
 }
 
-/** Turns a change into the platform's objects. */
+/** Converts a requested change to the objects to write to the platform's store. */
 object ConfigurationEdit {
     private const val MAXIMUM_IDENTIFIER_LENGTH = 128
 
-    /** The objects that carry out [change] on top of [stored]. */
+    /** Validates [change] and prepares the objects that apply it to [stored]. */
     fun prepare(stored: StoredConfiguration, change: RequestedChange): EditResult {
         val changes = stored.root?.recentChanges.orEmpty()
         val configuration = stored.configuration.applying(change)
         val isLatest = change.identifier == changes.lastOrNull()
-        val isReused = isLatest && !configuration.hasContentOf(stored.configuration)
+        val isReused = isLatest && !configuration.hasSameContentAs(stored.configuration)
         val faults = identifierFaults(change) + InventoryCheck.check(configuration.inventory, configuration.rules)
         val difference = ConfigurationDifference.between(stored.configuration, configuration)
         return when {
             isReused -> EditResult.Invalid(listOf(InventoryFault("change identifier", "another change has it already")))
             change.identifier in changes -> EditResult.AlreadyApplied(stored.configuration.generation)
             faults.isNotEmpty() -> EditResult.Invalid(faults)
-            configuration.hasContentOf(stored.configuration) && stored.root != null ->
+            configuration.hasSameContentAs(stored.configuration) && stored.root != null ->
                 EditResult.NothingToChange(stored.configuration.generation)
             else ->
                 prepared(
@@ -105,6 +105,6 @@
             rules = change.rules ?: rules,
         )
 
-    private fun Configuration.hasContentOf(other: Configuration): Boolean =
+    private fun Configuration.hasSameContentAs(other: Configuration): Boolean =
         inventory == other.inventory && rules == other.rules
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/Adoption.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationInstaller.kt
@@ -18,10 +18,10 @@
 /** Where a configuration came from. */
 internal enum class ConfigurationSource { PLATFORM, PEER }
 
-/** Puts a higher generation into effect and announces it. The only place that changes the generation. */
-internal class Adoption(private val context: StepContext) {
-    /** Adopts [configuration] unless the generation in effect is the same or higher. */
-    fun adopt(
+/** Installs configurations of a higher generation and announces them. No other class changes the generation. */
+internal class ConfigurationInstaller(private val context: StepContext) {
+    /** Installs [configuration] if its generation is higher than the one in effect. */
+    fun install(
         state: ProxyState,
         configuration: Configuration,
         recentChanges: List<String>,
@@ -30,26 +30,26 @@
         if (configuration.generation <= state.configuration.index.generation) {
             Step(state)
         } else {
-            val adopted =
+            val installed =
                 state.withConfiguration {
                     copy(
                         index = ConfigurationIndex(configuration),
                         recentChanges = recentChanges,
-                        changes = remember(this, configuration),
+                        changes = retainedChanges(this, configuration),
                     )
                 }
             Step(
-                adopted,
-                announcements(adopted) + report(configuration.generation, source),
+                installed,
+                announcements(installed) + report(configuration.generation, source),
                 listOf(Signal.ConfigurationChanged(configuration.generation)),
             )
         }
 
-    private fun remember(before: ConfigurationState, after: Configuration): PersistentList<ConfigurationChange> {
+    private fun retainedChanges(before: ConfigurationState, after: Configuration): PersistentList<ConfigurationChange> {
         val change = ConfigurationChanges.between(before.index.configuration, after)
         val isSmall = ConfigurationPages.weight(change) <= ConfigurationPages.MAXIMUM_WEIGHT
         return if (before.isLoaded && isSmall) {
-            (before.changes + change).takeLast(REMEMBERED_CHANGES).toPersistentList()
+            (before.changes + change).takeLast(RETAINED_CHANGES).toPersistentList()
         } else {
             persistentListOf()
         }
@@ -76,7 +76,7 @@
         )
 
     private companion object {
-        /** A peer that missed more than these gets the whole configuration. */
-        const val REMEMBERED_CHANGES = 16
+        /** Changes kept for peers that are behind. A peer that missed more gets the whole configuration. */
+        const val RETAINED_CHANGES = 16
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationPages.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationPages.kt
@@ -7,26 +7,26 @@
 import dev.hibiscusreach.core.model.Inventory
 import dev.hibiscusreach.core.model.Rules
 
-/** Splits a configuration so that each part fits into one message between proxies. */
+/** Splits a configuration into pages that each fit into one message between proxies. */
 internal object ConfigurationPages {
-    /** Entries in a page. An entry with names of full length takes less than 500 bytes, and a frame holds 1 MiB. */
+    /** Maximum entries of a page. An entry takes less than 500 bytes with the longest names; a frame holds 1 MiB. */
     const val MAXIMUM_WEIGHT: Int = 1_000
 
     /** The pages of [configuration], in order; at least one. */
     fun split(configuration: Configuration): List<Configuration> {
         val inventory = configuration.inventory
         val inventories =
-            chunks(inventory.failureDomains) { 1 }.map { Inventory(failureDomains = it) } +
-                chunks(inventory.databaseGroups, ::weight).map { Inventory(databaseGroups = it) } +
-                chunks(inventory.callers) { 1 }.map { Inventory(callers = it) }
-        val rules = chunks(configuration.rules.callers, ::weight).map { Rules(it) }
+            batches(inventory.failureDomains) { 1 }.map { Inventory(failureDomains = it) } +
+                batches(inventory.databaseGroups, ::weight).map { Inventory(databaseGroups = it) } +
+                batches(inventory.callers) { 1 }.map { Inventory(callers = it) }
+        val rules = batches(configuration.rules.callers, ::weight).map { Rules(it) }
         val pages =
             inventories.map { Configuration(configuration.generation, inventory = it) } +
                 rules.map { Configuration(configuration.generation, rules = it) }
         return if (weight(inventory, configuration.rules) <= MAXIMUM_WEIGHT) listOf(configuration) else pages
     }
 
-    /** The configuration that [pages] were split from. */
+    /** Restores the configuration from all its [pages], in order. */
     fun join(pages: List<Configuration>): Configuration =
         Configuration(
             generation = pages.first().generation,
@@ -54,17 +54,17 @@
 
     private fun weight(rule: CallerRule): Int = 1 + rule.maximumReadAgeMillisByDatabase.size
 
-    private fun <T> chunks(entries: List<T>, weight: (T) -> Int): List<List<T>> {
-        val chunks = mutableListOf<MutableList<T>>()
-        var room = 0
+    private fun <T> batches(entries: List<T>, weight: (T) -> Int): List<List<T>> {
+        val batches = mutableListOf<MutableList<T>>()
+        var remainingWeight = 0
         for (entry in entries) {
-            if (weight(entry) > room) {
-                chunks += mutableListOf<T>()
-                room = MAXIMUM_WEIGHT
+            if (weight(entry) > remainingWeight) {
+                batches += mutableListOf<T>()
+                remainingWeight = MAXIMUM_WEIGHT
             }
-            chunks.last() += entry
-            room -= weight(entry)
+            batches.last() += entry
+            remainingWeight -= weight(entry)
         }
-        return chunks
+        return batches
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationPart.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationPart.kt
@@ -9,14 +9,14 @@
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
 
-/** Keeps the configuration in force and spreads it. */
+/** Keeps the configuration in effect up to date from the platform's store and from peers, and disseminates it. */
 internal class ConfigurationPart : Part {
     override fun handle(state: ProxyState, event: Event, context: StepContext): Step =
         when (event) {
-            is Event.Started -> StorePause(context).beforeFirstRead(state)
+            is Event.Started -> StoreBackoff(context).beforeFirstRead(state)
             is Event.TimerFired -> timerFired(state, event.key, context)
-            is Event.PeerMessageReceived -> PeerExchange(context).received(state, event.from, event.message)
-            is Event.PeerUnreachable -> PeerExchange(context).unreachable(state, event.peer)
+            is Event.PeerMessageReceived -> ConfigurationExchange(context).received(state, event.from, event.message)
+            is Event.PeerUnreachable -> ConfigurationExchange(context).unreachable(state, event.peer)
             is Event.PlatformAnswered ->
                 if (event.call.owner == PartName.CONFIGURATION) {
                     StoreWatch(context).answered(state, event.call, event.answer)
@@ -30,7 +30,7 @@
     private fun timerFired(state: ProxyState, key: TimerKey, context: StepContext): Step =
         when (key) {
             is TimerKey.WatchRetry -> StoreWatch(context).retry(state)
-            is TimerKey.ConfigurationPeriod -> PeerExchange(context).pullTimedOut(state)
+            is TimerKey.ConfigurationPeriod -> ConfigurationExchange(context).pullTimedOut(state)
             else -> Step(state)
         }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/Pull.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationPull.kt
@@ -7,17 +7,17 @@
 import kotlinx.collections.immutable.PersistentMap
 import kotlinx.collections.immutable.persistentMapOf
 
-/** A request for the configuration that was sent to a peer. */
-data class Pull(
+/** An outstanding request to a peer for its configuration. */
+data class ConfigurationPull(
     val from: NodeIdentity,
-    /** The generation that a peer said it has. */
+    /** The generation that a peer announced; the pull ends once this one or a higher one is in effect. */
     val generation: Long,
     val attempts: Int = 1,
     /** Pages received so far, all of one generation. */
     val pages: PersistentMap<Int, Configuration> = persistentMapOf(),
 ) {
     internal companion object {
-        /** Time for one page over the link between regions, which takes up to 400 ms for a full frame. */
+        /** Timeout for one page. A full frame takes up to 400 ms over the link between regions. */
         val TIMEOUT: Millis = 1.inSeconds
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/Receipt.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationReceiver.kt
@@ -9,11 +9,11 @@
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
 
-/** Takes in what peers deliver. */
-internal class Receipt(context: StepContext) {
-    private val adoption = Adoption(context)
+/** Installs the configurations and changes that peers deliver. */
+internal class ConfigurationReceiver(context: StepContext) {
+    private val installer = ConfigurationInstaller(context)
 
-    /** Adopts a whole configuration, or collects the page if there are more. */
+    /** Installs a whole configuration, or collects its pages until all have arrived. */
     fun pageDelivered(
         state: ProxyState,
         from: NodeIdentity,
@@ -21,36 +21,36 @@
     ): Step {
         val pull = state.configuration.pull
         return when {
-            message.pages == 1 -> delivered(state, message.configuration, message.recentChanges)
+            message.pages == 1 -> installDelivered(state, message.configuration, message.recentChanges)
             pull == null || pull.from != from -> Step(state)
             else -> collect(state, pull, message)
         }
     }
 
-    // A higher generation may come into effect at the sender between two requests; its pages replace the earlier ones.
-    private fun collect(state: ProxyState, pull: Pull, message: PeerMessage.ConfigurationDelivered): Step {
-        val isSame = pull.pages.values.all { it.generation == message.configuration.generation }
-        val pages = (if (isSame) pull.pages else pull.pages.clear()).put(message.page, message.configuration)
+    // The sender may install a higher generation between two requests; its pages replace those of the earlier one.
+    private fun collect(state: ProxyState, pull: ConfigurationPull, message: PeerMessage.ConfigurationDelivered): Step {
+        val isSameGeneration = pull.pages.values.all { it.generation == message.configuration.generation }
+        val pages = (if (isSameGeneration) pull.pages else pull.pages.clear()).put(message.page, message.configuration)
         return if (pages.size == message.pages) {
             val ordered = pages.entries.sortedBy { it.key }.map { it.value }
-            delivered(state, ConfigurationPages.join(ordered), message.recentChanges)
+            installDelivered(state, ConfigurationPages.join(ordered), message.recentChanges)
         } else {
             Step(
                 state.withConfiguration { copy(pull = pull.copy(pages = pages)) },
-                listOf(Effect.StartTimer(TimerKey.ConfigurationPeriod, Pull.TIMEOUT)),
+                listOf(Effect.StartTimer(TimerKey.ConfigurationPeriod, ConfigurationPull.TIMEOUT)),
             )
         }
     }
 
-    /** Adopts the generation that the changes lead to. */
+    /** Applies the changes to the configuration in effect and installs the result. */
     fun changesDelivered(state: ProxyState, message: PeerMessage.ConfigurationChangesDelivered): Step {
         val current = state.configuration.index.configuration
-        return delivered(state, ConfigurationChanges.applyAll(current, message.changes), message.recentChanges)
+        return installDelivered(state, ConfigurationChanges.applyAll(current, message.changes), message.recentChanges)
     }
 
-    private fun delivered(state: ProxyState, configuration: Configuration, recentChanges: List<String>): Step =
-        adoption
-            .adopt(state, configuration, recentChanges, ConfigurationSource.PEER)
+    private fun installDelivered(state: ProxyState, configuration: Configuration, recentChanges: List<String>): Step =
+        installer
+            .install(state, configuration, recentChanges, ConfigurationSource.PEER)
             .then(::finishPull)
 
     private fun finishPull(state: ProxyState): Step {
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationState.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationState.kt
@@ -6,18 +6,18 @@
 import kotlinx.collections.immutable.PersistentList
 import kotlinx.collections.immutable.persistentListOf
 
-/** The configuration in force and the state of its dissemination. */
+/** The configuration in effect and the state of its dissemination. */
 data class ConfigurationState(
     val index: ConfigurationIndex = ConfigurationIndex(Configuration()),
     /** Identifiers of the latest edits, newest last. */
     val recentChanges: List<String> = emptyList(),
-    /** The latest changes up to the generation in effect, each based on the one before, for peers that are behind. */
+    /** The latest changes up to the generation in effect, each based on the one before; for peers that are behind. */
     val changes: PersistentList<ConfigurationChange> = persistentListOf(),
-    /** What a watcher knows of the platform's store and does with it. */
+    /** The platform's store as a watcher knows it, and the operation in progress. */
     val store: StoreState = StoreState(),
-    /** The request to a peer that is ahead, if one is outstanding. */
-    val pull: Pull? = null,
+    /** The outstanding request to a peer with a higher generation, or null. */
+    val pull: ConfigurationPull? = null,
 ) {
-    /** Whether any configuration was ever taken over. */
+    /** Whether any configuration has been installed. */
     val isLoaded: Boolean get() = index.generation > 0
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationSupport.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationSupport.kt
@@ -4,13 +4,13 @@
 import dev.hibiscusreach.core.reducer.StepContext
 import kotlin.random.Random
 
-/** This state with a changed configuration slice. */
+/** A copy of this state with [change] applied to its configuration slice. */
 internal fun ProxyState.withConfiguration(change: ConfigurationState.() -> ConfigurationState): ProxyState =
     copy(configuration = configuration.change())
 
-/** This state with a changed view of the platform's store. */
+/** A copy of this state with [change] applied to its state of the platform's store. */
 internal fun ProxyState.withStore(change: StoreState.() -> StoreState): ProxyState =
     withConfiguration { copy(store = store.change()) }
 
-/** A generator for one decision; [purpose] keeps the decisions within one event independent of each other. */
+/** A random generator for one decision; each [purpose] makes it independent of other decisions on the same event. */
 internal fun StepContext.randomFor(purpose: String): Random = Random(random xor purpose.hashCode().toLong())
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/EndpointCheck.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/EndpointCheck.kt
@@ -2,7 +2,7 @@
 
 import dev.hibiscusreach.core.model.Endpoint
 
-/** Checks endpoints, whose addresses must be literal because no name is resolved at run time. */
+/** Validates endpoints. Addresses must be IP literals because no names are resolved at run time. */
 internal object EndpointCheck {
     private const val HIGHEST_PORT = 65_535
     private const val HIGHEST_OCTET = 255
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/InventoryCheck.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/InventoryCheck.kt
@@ -5,9 +5,9 @@
 import dev.hibiscusreach.core.model.Inventory
 import dev.hibiscusreach.core.model.Rules
 
-/** Finds all faults of an inventory and rules at once, so that operators can correct them in one go. */
+/** Validates an inventory and its rules. All faults are reported at once, so that operators can fix them together. */
 object InventoryCheck {
-    /** The faults of [inventory] and [rules]; empty if they can be accepted. */
+    /** The faults of [inventory] and [rules]; empty if both are valid. */
     fun check(inventory: Inventory, rules: Rules): List<InventoryFault> =
         faultIf(inventory.databaseGroups.isEmpty(), "inventory", "it has no databases") +
             failureDomainFaults(inventory) +
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/InventoryFault.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/InventoryFault.kt
@@ -1,8 +1,8 @@
 package dev.hibiscusreach.core.configuration
 
-/** Something in an inventory or in the rules that cannot be accepted. */
+/** A reason why an inventory or its rules are rejected. */
 data class InventoryFault(
-    /** The faulty entry, such as `server jobs-1`. */
+    /** Kind and name of the faulty entry, such as `server jobs-1`. */
     val subject: String,
     /** What is wrong with it. */
     val problem: String,
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/NameCheck.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/NameCheck.kt
@@ -1,17 +1,17 @@
 package dev.hibiscusreach.core.configuration
 
-/** Checks the form of names by where they are used. */
+/** Validates names; the permitted characters depend on where a name is used. */
 internal object NameCheck {
     private const val MAXIMUM_LENGTH = 128
 
     private val KEY = Regex("[A-Za-z0-9_-][A-Za-z0-9._-]*")
     private val HEADER = Regex("[!-~]+")
 
-    /** Names that only people and logs read. */
+    /** Names that are only shown, such as in logs. */
     fun printable(kind: String, name: String): List<InventoryFault> =
         check(kind, name, name.isNotBlank() && name.none { it.isISOControl() }, "a name must have printable characters")
 
-    /** Names that are part of a path and of a platform key. */
+    /** Names that are part of a URL path and of a key in the platform's store. */
     fun key(kind: String, name: String): List<InventoryFault> =
         check(
             kind,
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/RuleCheck.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/RuleCheck.kt
@@ -4,7 +4,7 @@
 import dev.hibiscusreach.core.model.Inventory
 import dev.hibiscusreach.core.model.Rules
 
-/** Finds the faults of rules that are to go with [inventory]. */
+/** Validates rules against the callers and databases of [inventory]. */
 internal class RuleCheck(inventory: Inventory) {
     private val callers = inventory.callers.mapTo(mutableSetOf()) { it.name }
     private val databases = inventory.databaseGroups.mapTo(mutableSetOf()) { it.name }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/StorePause.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/StoreBackoff.kt
@@ -9,24 +9,24 @@
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
 
-/** Pauses between calls to the platform's store. */
-internal class StorePause(private val context: StepContext) {
-    /** Waits until the seeds have answered, so that processes that start together do not all act as watchers. */
+/** Delays calls to the platform's store at the start, after failures and after long polls that end early. */
+internal class StoreBackoff(private val context: StepContext) {
+    /** Delays the first read until the seeds have answered, so that processes started together are not all watchers. */
     fun beforeFirstRead(state: ProxyState): Step {
-        val jitter = context.randomFor("first read").nextLong(FIRST_READ.value)
-        return schedule(state, FIRST_READ + Millis(jitter))
+        val jitter = context.randomFor("first read").nextLong(FIRST_READ_DELAY.value)
+        return schedule(state, FIRST_READ_DELAY + Millis(jitter))
     }
 
-    /** Waits longer after each failure in a row, with jitter so that watchers do not return all at once. */
+    /** Backs off exponentially after consecutive failures, with jitter so that watchers do not retry all at once. */
     fun afterFailure(state: ProxyState, reason: String): Step {
         val failures = state.configuration.store.failures
-        val doubled = FIRST_RETRY.value shl minOf(failures, MAXIMUM_DOUBLINGS)
+        val doubled = FIRST_RETRY_DELAY.value shl minOf(failures, MAXIMUM_DOUBLINGS)
         val jitter = context.randomFor("retry").nextLong(doubled)
         val log = Effect.Log(LogLevel.WARN, reason, mapOf("failures" to (failures + 1).toString()))
         return schedule(state.withStore { copy(failures = failures + 1) }, Millis(doubled + jitter)).withEffects(log)
     }
 
-    /** Waits [delay] before the next call. */
+    /** Schedules the next call after [delay]. */
     fun schedule(state: ProxyState, delay: Millis): Step =
         Step(
             state.withStore { copy(phase = StorePhase.Idle(retryScheduled = true)) },
@@ -34,10 +34,10 @@
         )
 
     private companion object {
-        val FIRST_READ = 300.milliseconds
-        val FIRST_RETRY = 250.milliseconds
+        val FIRST_READ_DELAY = 300.milliseconds
+        val FIRST_RETRY_DELAY = 250.milliseconds
 
-        /** The longest pause is 2 to 4 s, so that a change is in effect within seconds after an outage. */
+        /** Limits the delay to 2 to 4 s, so that a change takes effect within seconds after an outage. */
         const val MAXIMUM_DOUBLINGS = 3
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/StoreCalls.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/StoreCalls.kt
@@ -8,16 +8,16 @@
 import dev.hibiscusreach.core.model.Millis
 import dev.hibiscusreach.core.reducer.ProxyState
 
-/** A call with the state in which its number is used up and the effects that make it. */
+/** A started call: the state with its [number] allocated, and the effects that send it. */
 internal data class StartedCall(val state: ProxyState, val number: PlatformCallNumber, val effects: List<Effect>)
 
-/** Starts calls to the platform's store. */
+/** Numbers, counts and starts calls to the platform's store. */
 internal object StoreCalls {
     fun start(state: ProxyState, call: PlatformCall): StartedCall {
-        val sequence = state.configuration.store.calls + 1
+        val sequence = state.configuration.store.callCount + 1
         val number = PlatformCallNumber(PartName.CONFIGURATION, sequence)
         return StartedCall(
-            state.withStore { copy(calls = sequence) },
+            state.withStore { copy(callCount = sequence) },
             number,
             listOf(
                 Effect.CallPlatform(number, call, timeout(state, call)),
@@ -27,8 +27,8 @@
     }
 
     private fun timeout(state: ProxyState, call: PlatformCall): Millis {
-        val usual = state.settings.membership.platformTimeout
-        return if (call is PlatformCall.Watch) usual + Millis(call.waitMillis) else usual
+        val callTimeout = state.settings.membership.platformTimeout
+        return if (call is PlatformCall.Watch) callTimeout + Millis(call.waitMillis) else callTimeout
     }
 
     private fun label(call: PlatformCall): String =
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/StoreProgress.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/StoreProgress.kt
@@ -2,17 +2,17 @@
 
 import dev.hibiscusreach.core.reducer.Step
 
-/** How far a sequence of calls to the platform's store has come. */
+/** The progress of a sequence of calls to the platform's store. */
 internal sealed interface StoreProgress {
     /** The state and effects so far. */
     val step: Step
 
-    /** More answers are to come. */
+    /** Calls are outstanding. */
     data class Continues(override val step: Step) : StoreProgress
 
     /** The sequence is complete. */
     data class Finished(override val step: Step) : StoreProgress
 
-    /** The sequence cannot be completed and starts anew with the root. */
+    /** The sequence failed; the root must be read again before the next attempt. */
     data class Failed(override val step: Step, val reason: String) : StoreProgress
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/StoreState.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/StoreState.kt
@@ -6,15 +6,15 @@
 import kotlinx.collections.immutable.PersistentMap
 import kotlinx.collections.immutable.PersistentSet
 
-/** What a watcher does with the platform's store at the moment. Answers to other calls than its own are ignored. */
+/** A watcher's current operation on the platform's store. Answers to calls of earlier operations are ignored. */
 sealed interface StorePhase {
     /** No call is outstanding. */
     data class Idle(
-        /** Whether the retry timer runs. */
+        /** Whether the retry timer is running; no call starts before it fires. */
         val retryScheduled: Boolean = false,
     ) : StorePhase
 
-    /** Waits for the root, by a read or a long poll. */
+    /** Waits for the answer to a read or a long poll of the root. */
     data class ReadingRoot(
         val call: PlatformCallNumber,
         val startedAt: MonotonicTime,
@@ -22,34 +22,36 @@
         val isWatch: Boolean,
     ) : StorePhase
 
-    /** Waits for the chunks of [root] that are not at hand. */
+    /** Waits for the chunks of [root] that this process does not have. */
     data class ReadingChunks(
         val root: ConfigurationRoot,
-        /** Outstanding calls with the hash of the chunk that each one reads. */
+        /** The hash of the chunk that each outstanding call reads. */
         val calls: PersistentMap<PlatformCallNumber, String>,
+        /** Contents of the chunks at hand, by hash. */
         val chunks: PersistentMap<String, String>,
     ) : StorePhase
 
-    /** Waits for the chunks of a newer configuration to be written back. */
+    /** Waits until the chunks of a newer configuration are written back. */
     data class WritingChunks(
         val encoded: EncodedConfiguration,
         val calls: PersistentSet<PlatformCallNumber>,
-        /** The version that the root had when it was found to be behind. */
+        /** Version of the root with the lower generation, which is the expected version when the root is replaced. */
         val rootVersion: Long,
     ) : StorePhase
 
-    /** Waits for the root of a newer configuration to be written back. */
+    /** Waits until the root of a newer configuration is written back. */
     data class WritingRoot(val call: PlatformCallNumber) : StorePhase
 }
 
-/** What a watcher knows of the platform's store. */
+/** The platform's store as a watcher knows it. */
 data class StoreState(
     val phase: StorePhase = StorePhase.Idle(),
-    /** Version of the root that was read last; null if the root must be read instead of watched. */
+    /** Version of the root that was read last; null if the next call must be a read instead of a long poll. */
     val rootVersion: Long? = null,
     /** Generation of the root that was read last. */
     val generation: Long = 0,
-    /** Calls that failed since the last one that succeeded. */
+    /** Failures since the last valid answer to a read or long poll of the root. */
     val failures: Int = 0,
-    val calls: Long = 0,
+    /** Calls started since the process started; the sequence number of the latest one. */
+    val callCount: Long = 0,
 )
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/StoreWatch.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/StoreWatch.kt
@@ -13,11 +13,11 @@
 
 /** Watches the root in the platform's store while this process is a watcher. */
 internal class StoreWatch(private val context: StepContext) {
-    private val chunkReading = ChunkReading(context)
+    private val chunkReader = ChunkReader(context)
     private val writeBack = WriteBack()
-    private val pause = StorePause(context)
+    private val backoff = StoreBackoff(context)
 
-    /** Starts the next read or long poll if this process is a watcher and nothing else is going on. */
+    /** Starts the next read or long poll if this process is a watcher and no operation or delay is in progress. */
     fun resume(state: ProxyState): Step =
         if (state.configuration.store.phase == StorePhase.Idle() && Watchers.isWatcher(state)) {
             readRoot(state)
@@ -25,7 +25,7 @@
             Step(state)
         }
 
-    /** Ends the pause before the next try. */
+    /** Handles the end of a delay. */
     fun retry(state: ProxyState): Step =
         if (state.configuration.store.phase is StorePhase.Idle) {
             resume(state.withStore { copy(phase = StorePhase.Idle()) })
@@ -33,24 +33,24 @@
             Step(state)
         }
 
-    /** Handles the answer to a call of this part. */
+    /** Handles the answer to a call to the store. */
     fun answered(state: ProxyState, call: PlatformCallNumber, answer: PlatformAnswer): Step =
         when (val phase = state.configuration.store.phase) {
             is StorePhase.Idle -> Step(state)
             is StorePhase.ReadingRoot -> if (phase.call == call) rootAnswered(state, phase, answer) else Step(state)
             is StorePhase.ReadingChunks ->
-                if (call in phase.calls) follow(chunkReading.answered(state, phase, call, answer)) else Step(state)
+                if (call in phase.calls) proceed(chunkReader.answered(state, phase, call, answer)) else Step(state)
             is StorePhase.WritingChunks ->
-                if (call in phase.calls) follow(writeBack.chunkAnswered(state, phase, call, answer)) else Step(state)
+                if (call in phase.calls) proceed(writeBack.chunkAnswered(state, phase, call, answer)) else Step(state)
             is StorePhase.WritingRoot ->
-                if (call == phase.call) follow(writeBack.rootAnswered(state, answer)) else Step(state)
+                if (call == phase.call) proceed(writeBack.rootAnswered(state, answer)) else Step(state)
         }
 
     private fun readRoot(state: ProxyState): Step {
         val store = state.configuration.store
         val wait = state.settings.membership.watchWait.value
         val version = store.rootVersion
-        // A store that stayed behind what is in effect is read at once instead of watched.
+        // A root whose generation is below the one in effect is read at once instead of watched.
         val isBehind = store.generation < state.configuration.index.generation
         val request =
             if (version == null || isBehind) {
@@ -65,28 +65,29 @@
 
     private fun rootAnswered(state: ProxyState, phase: StorePhase.ReadingRoot, answer: PlatformAnswer): Step =
         when (answer) {
-            is PlatformAnswer.Found -> found(state, phase, answer)
-            is PlatformAnswer.Missing -> compare(state, phase, ConfigurationRoot(0, emptyList()), version = 0)
-            // A store that was restored from a backup may never reach a version that ends the long poll.
+            is PlatformAnswer.Found -> rootFound(state, phase, answer)
+            is PlatformAnswer.Missing ->
+                compareGenerations(state, phase, ConfigurationRoot(0, emptyList()), version = 0)
+            // Clears the version: a store restored from a backup may never reach one that ends the long poll.
             is PlatformAnswer.Unchanged -> continueWatch(
                 state.withStore { copy(failures = 0, rootVersion = null) },
                 phase
             )
-            else -> pause.afterFailure(state, "configuration root not read: $answer")
+            else -> backoff.afterFailure(state, "configuration root not read: $answer")
         }
 
-    private fun found(state: ProxyState, phase: StorePhase.ReadingRoot, answer: PlatformAnswer.Found): Step =
+    private fun rootFound(state: ProxyState, phase: StorePhase.ReadingRoot, answer: PlatformAnswer.Found): Step =
         ConfigurationCodec.decodeRoot(answer.value).mapBoth(
-            success = { compare(state, phase, it, answer.version) },
+            success = { compareGenerations(state, phase, it, answer.version) },
             failure = {
-                pause.afterFailure(
+                backoff.afterFailure(
                     state.withStore { copy(rootVersion = null) },
                     "configuration root not valid: $it"
                 )
             },
         )
 
-    private fun compare(
+    private fun compareGenerations(
         state: ProxyState,
         phase: StorePhase.ReadingRoot,
         root: ConfigurationRoot,
@@ -96,31 +97,31 @@
         val inEffect = state.configuration.index.generation
         val hasNewVersion = version != state.configuration.store.rootVersion
         return when {
-            root.generation > inEffect -> follow(chunkReading.start(read, root))
-            root.generation < inEffect -> follow(writeBack.start(read, version))
+            root.generation > inEffect -> proceed(chunkReader.start(read, root))
+            root.generation < inEffect -> proceed(writeBack.start(read, version))
             StoreConflict.exists(state, root) ->
-                continueWatch(read, phase, hasNewVersion).withEffects(StoreConflict.report(root))
+                continueWatch(read, phase, hasNewVersion).withEffects(StoreConflict.log(root))
             else -> continueWatch(read, phase, hasNewVersion)
         }
     }
 
-    // A store that answers a long poll at once, for whatever reason, is not asked more than once a second.
+    // If the store answers long polls at once, for whatever reason, it gets at most one a second.
     private fun continueWatch(state: ProxyState, phase: StorePhase.ReadingRoot, hasNewVersion: Boolean = false): Step {
-        val endedEarly = phase.isWatch && !hasNewVersion && context.now - phase.startedAt < SHORTEST_WATCH
-        return if (endedEarly) pause.schedule(state, SHORTEST_WATCH) else resume(state.idle())
+        val endedEarly = phase.isWatch && !hasNewVersion && context.now - phase.startedAt < MINIMUM_WATCH_INTERVAL
+        return if (endedEarly) backoff.schedule(state, MINIMUM_WATCH_INTERVAL) else resume(state.idle())
     }
 
-    private fun follow(progress: StoreProgress): Step =
+    private fun proceed(progress: StoreProgress): Step =
         when (progress) {
             is StoreProgress.Continues -> progress.step
             is StoreProgress.Finished -> progress.step.then { resume(it.idle()) }
             is StoreProgress.Failed ->
-                progress.step.then { pause.afterFailure(it.withStore { copy(rootVersion = null) }, progress.reason) }
+                progress.step.then { backoff.afterFailure(it.withStore { copy(rootVersion = null) }, progress.reason) }
         }
 
     private fun ProxyState.idle(): ProxyState = withStore { copy(phase = StorePhase.Idle()) }
 
     private companion object {
-        val SHORTEST_WATCH = 1.inSeconds
+        val MINIMUM_WATCH_INTERVAL = 1.inSeconds
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/WriteBack.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/WriteBack.kt
@@ -9,9 +9,9 @@
 import dev.hibiscusreach.core.reducer.Step
 import kotlinx.collections.immutable.persistentSetOf
 
-/** Writes the configuration in effect to a store that has a lower generation, such as after a restored backup. */
+/** Writes the configuration in effect to a store with a lower generation, such as one restored from a backup. */
 internal class WriteBack {
-    /** Writes the chunks; the root, whose version was [rootVersion], follows once all of them are stored. */
+    /** Writes the chunks. Once all are stored, the root is written if its version is still [rootVersion]. */
     fun start(state: ProxyState, rootVersion: Long): StoreProgress {
         val configuration = state.configuration
         val encoded = ConfigurationCodec.encode(configuration.index.configuration, configuration.recentChanges)
@@ -28,7 +28,7 @@
         return StoreProgress.Continues(Step(current.withStore { copy(phase = phase) }, effects))
     }
 
-    /** Handles the answer to the writing of one chunk. A conflict means that the chunk is stored already. */
+    /** Handles the answer to the write of one chunk. A conflict means that the chunk is stored already. */
     fun chunkAnswered(
         state: ProxyState,
         phase: StorePhase.WritingChunks,
@@ -46,7 +46,7 @@
             StoreProgress.Failed(Step(state), "configuration chunk not written back: $answer")
         }
 
-    /** Handles the answer to the writing of the root. After a conflict the root is read again. */
+    /** Handles the answer to the write of the root. After a conflict the root is read again. */
     fun rootAnswered(state: ProxyState, answer: PlatformAnswer): StoreProgress =
         when (answer) {
             is PlatformAnswer.Stored, is PlatformAnswer.VersionConflict ->
