--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Homes.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Homes.kt
@@ -19,7 +19,7 @@
 internal fun GroupsTurn.selectHomes() {
     val index = state.configuration.index
     val domain = state.settings.failureDomain
-    val homes = groups.homes.updated(index, domain, state.membership.takingWork(domain))
+    val homes = groups.homes.updated(index, domain, state.membership.nodesAcceptingWork(domain))
     if (homes === groups.homes) return
     groups = groups.copy(homes = homes)
     val own = homes.homes.filterValues { it == state.settings.self }.keys
--- a/core/src/main/kotlin/dev/hibiscusreach/core/membership/FailureDetector.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/membership/FailureDetector.kt
@@ -11,22 +11,25 @@
 import dev.hibiscusreach.core.reducer.StepContext
 import kotlinx.collections.immutable.toPersistentList
 
-/** Finds peers that do not answer: direct ping, pings through other peers, suspicion, gone. */
+/** Detects peers that do not answer: a direct ping is followed by indirect pings, suspicion and the state gone. */
 internal class FailureDetector(private val context: StepContext) {
     private val pings = Pings(context)
     private val updates = PeerUpdates(context)
 
-    /** Pings the next peer of the round. */
+    /** Pings the next peer of the round; a round pings every live peer once, in random order. */
     fun probeNext(state: ProxyState): Step {
-        val round = if (state.membership.protocol.rotation.isEmpty()) state.startRound() else state
-        val rotation = round.membership.protocol.rotation
-        val position = rotation.indexOfLast { round.membership.livePeer(it) != null }
-        val target = rotation.getOrNull(position)?.let(round.membership::livePeer)
-        val rest = round.withProtocol { copy(rotation = rotation.subList(0, maxOf(position, 0)).toPersistentList()) }
-        return if (target == null) Step(rest) else pings.probe(rest, target.node)
+        val round = if (state.membership.protocol.remainingTargets.isEmpty()) state.startRound() else state
+        val remainingTargets = round.membership.protocol.remainingTargets
+        val position = remainingTargets.indexOfLast { round.membership.livePeer(it) != null }
+        val target = remainingTargets.getOrNull(position)?.let(round.membership::livePeer)
+        val remaining =
+            round.withProtocol {
+                copy(remainingTargets = remainingTargets.subList(0, maxOf(position, 0)).toPersistentList())
+            }
+        return if (target == null) Step(remaining) else pings.probe(remaining, target.node)
     }
 
-    /** Handles the link to [node] having failed: asks others at once instead of waiting for a ping to time out. */
+    /** Handles the failure of the link to [node]: probes it indirectly at once instead of after a ping timeout. */
     fun unreachable(state: ProxyState, node: NodeIdentity): Step {
         val membership = state.membership
         val peer = membership.livePeer(node.peerEndpoint)?.takeIf { it.node == node }
@@ -35,26 +38,26 @@
         return when {
             peer == null || peer.condition == PeerCondition.SUSPECTED -> Step(state)
             probe == null && membership.protocol.isBusy -> Step(state)
-            probe == null -> probeEverywhere(state, node)
+            probe == null -> probeOnAllPaths(state, node)
             probe.indirect -> Step(state)
-            else -> askOthers(state, open.key, probe)
+            else -> probeIndirectly(state, open.key, probe)
         }
     }
 
-    /** Handles the wait for the acknowledgement of [sequence] having ended. */
+    /** Handles the timeout of the ping with [sequence]. */
     fun timedOut(state: ProxyState, sequence: Long): Step {
         val probe = state.membership.protocol.probes[sequence]
         val dropped = state.withProtocol { copy(probes = probes.remove(sequence)) }
         val peer = probe?.let { state.membership.livePeer(it.target.peerEndpoint) }?.takeIf { it.node == probe.target }
         return when {
             probe !is Probe.Own || peer == null || peer.condition == PeerCondition.SUSPECTED -> Step(dropped)
-            isLate(state, probe) -> Step(dropped)
-            !probe.indirect -> askOthers(state, sequence, probe)
+            isTimerLate(state, probe) -> Step(dropped)
+            !probe.indirect -> probeIndirectly(state, sequence, probe)
             else -> suspect(dropped, peer)
         }
     }
 
-    /** Handles the suspicion of [node] having run out. */
+    /** Handles the end of the suspicion timeout of [node]. */
     fun suspicionEnded(state: ProxyState, node: NodeIdentity): Step {
         val peer = state.membership.peers[node.peerEndpoint]
         return if (peer != null && peer.node == node && peer.condition == PeerCondition.SUSPECTED) {
@@ -64,43 +67,43 @@
         }
     }
 
-    private fun probeEverywhere(state: ProxyState, node: NodeIdentity): Step {
+    private fun probeOnAllPaths(state: ProxyState, node: NodeIdentity): Step {
         val sequence = state.membership.protocol.nextSequence
         return pings
             .probe(state, node)
-            .then { askOthers(it, sequence, Probe.Own(node, context.now)) }
+            .then { probeIndirectly(it, sequence, Probe.Own(node, context.now)) }
     }
 
-    private fun askOthers(state: ProxyState, sequence: Long, probe: Probe.Own): Step {
+    private fun probeIndirectly(state: ProxyState, sequence: Long, probe: Probe.Own): Step {
         val recorded =
             state.withProtocol {
                 copy(probes = probes.put(sequence, probe.copy(indirect = true, sentAt = context.now)))
             }
         val timer = Effect.StartTimer(TimerKey.PingTimeout(sequence), state.settings.membership.pingTimeout)
-        return Step(recorded, requests(state, sequence, probe.target) + timer)
+        return Step(recorded, indirectPings(state, sequence, probe.target) + timer)
     }
 
-    private fun requests(state: ProxyState, sequence: Long, target: NodeIdentity): List<Effect> =
-        Helpers.choose(state, target, context).map {
+    private fun indirectPings(state: ProxyState, sequence: Long, target: NodeIdentity): List<Effect> =
+        PingRelays.choose(state, target, context).map {
             Effect.SendPeerMessage(it.node, PeerMessage.IndirectPing(sequence, target))
         }
 
-    // The suspicion is sent to the peer on several paths, so that a peer that is merely slow can refute it in time.
+    // The suspicion is sent to the peer directly and through others, so that a slow peer can refute it in time.
     private fun suspect(state: ProxyState, peer: Peer): Step {
-        val helpers = Helpers.choose(state, peer.node, context)
-        return (listOf(peer) + helpers)
+        val relays = PingRelays.choose(state, peer.node, context)
+        return (listOf(peer) + relays)
             .fold(updates.declare(state, peer, PeerCondition.SUSPECTED)) { step, receiver ->
-                step.then { pings.notify(it, receiver.node) }
-            }.then { Step(it, requests(it, it.membership.protocol.nextSequence, peer.node)) }
+                step.then { pings.sendUpdates(it, receiver.node) }
+            }.then { Step(it, indirectPings(it, it.membership.protocol.nextSequence, peer.node)) }
             .then { Step(it.withProtocol { copy(nextSequence = nextSequence + 1) }) }
     }
 
-    // If this process is too slow to handle its timers, the acknowledgement may wait unread.
-    private fun isLate(state: ProxyState, probe: Probe.Own): Boolean =
+    // If this process handles its timers late, the acknowledgement may have arrived but not been read yet.
+    private fun isTimerLate(state: ProxyState, probe: Probe.Own): Boolean =
         context.now - probe.sentAt > state.settings.membership.pingTimeout * 2
 
     private fun ProxyState.startRound(): ProxyState {
         val order: List<Endpoint> = membership.livePeers().map { it.node.peerEndpoint }
-        return withProtocol { copy(rotation = order.shuffled(context.randomFor("round")).toPersistentList()) }
+        return withProtocol { copy(remainingTargets = order.shuffled(context.randomFor("round")).toPersistentList()) }
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/membership/LeavingReports.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/membership/LeavingHostsReporter.kt
@@ -9,9 +9,9 @@
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
 
-/** Passes the leaving hosts of the platform's list from the watchers to all processes of the failure domain. */
-internal class LeavingReports(private val context: StepContext) {
-    /** Records and reports the leaving ones of [hosts], which this process read. */
+/** Distributes the leaving hosts of the platform's list from the watchers to all processes of the failure domain. */
+internal class LeavingHostsReporter(private val context: StepContext) {
+    /** Records the leaving hosts among [hosts], which this process read, and reports them to the failure domain. */
     fun read(state: ProxyState, hosts: List<ListedHost>): Step {
         val leaving = hosts.filter { it.leaving }
         val message =
@@ -20,18 +20,18 @@
                 proxies = leaving.filter { it.server == null }.mapTo(mutableSetOf()) { it.peerEndpoint },
             )
         val previous = state.membership.leavingHosts.reports[state.settings.self]
-        val isUneventful = leaving.isEmpty() && (previous == null || previous.isEmpty)
+        val isUnchangedAndEmpty = leaving.isEmpty() && (previous == null || previous.isEmpty)
         return received(state, state.settings.self, message)
-            .then { if (isUneventful) Step(it) else Step(it, messages(it, message)) }
+            .then { if (isUnchangedAndEmpty) Step(it) else Step(it, messages(it, message)) }
     }
 
-    /** Records what [reporter] read. */
+    /** Records the leaving hosts that [reporter] read. */
     fun received(state: ProxyState, reporter: NodeIdentity, message: PeerMessage.LeavingHostsReported): Step {
-        val report = LeavingReport(message.servers, message.proxies, context.now)
+        val report = LeavingHostsReport(message.servers, message.proxies, context.now)
         return replace(state, state.membership.leavingHosts.with(reporter, report))
     }
 
-    /** Drops reports that their watcher has not repeated. */
+    /** Removes reports that their watcher has not renewed. */
     fun expire(state: ProxyState): Step = replace(state, state.membership.leavingHosts.expire(context.now))
 
     private fun messages(state: ProxyState, message: PeerMessage): List<Effect> =
--- a/core/src/main/kotlin/dev/hibiscusreach/core/membership/MembershipPart.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/membership/MembershipPart.kt
@@ -12,18 +12,18 @@
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
 
-/** Knows which proxies are alive, draining or gone. */
+/** Tracks which proxies are alive, suspected, draining or gone. */
 internal class MembershipPart : Part {
     override fun handle(state: ProxyState, event: Event, context: StepContext): Step =
-        MembershipStep(context).handle(state, event)
+        MembershipEventHandler(context).handle(state, event)
 }
 
-/** Handles one event of the membership protocol. */
-private class MembershipStep(private val context: StepContext) {
+/** Handles events of the membership protocol. */
+private class MembershipEventHandler(private val context: StepContext) {
     private val exchange = GossipExchange(context)
     private val detector = FailureDetector(context)
-    private val hostList = HostList(context)
-    private val leavingReports = LeavingReports(context)
+    private val hostListReader = HostListReader(context)
+    private val leavingHostsReporter = LeavingHostsReporter(context)
 
     fun handle(state: ProxyState, event: Event): Step =
         when (event) {
@@ -34,40 +34,43 @@
             is Event.PeerIntroduced -> exchange.introduced(state, event.update)
             is Event.PlatformAnswered -> platformAnswered(state, event)
             is Signal.PauseDetected -> PauseDetection.resume(state, context)
-            is Signal.DrainAdvanced -> Announcement(context).drainAdvanced(state, event.phase)
+            is Signal.DrainAdvanced -> UrgentGossip(context).drainAdvanced(state, event.phase)
             else -> Step(state)
         }
 
     private fun start(state: ProxyState): Step =
-        hostList
+        hostListReader
             .contactSeeds(state)
             .then { schedulePeriod(it) }
-            .withEffects(hostList.start())
+            .withEffects(hostListReader.start())
 
     private fun timerFired(state: ProxyState, key: TimerKey): Step =
         when (key) {
             is TimerKey.MembershipPeriod -> periodFired(state)
             is TimerKey.PingTimeout -> detector.timedOut(state, key.sequence)
             is TimerKey.SuspicionTimeout -> detector.suspicionEnded(state, key.node)
-            is TimerKey.HostListPeriod -> hostList.periodFired(state)
+            is TimerKey.HostListPeriod -> hostListReader.periodFired(state)
             else -> Step(state)
         }
 
     private fun periodFired(state: ProxyState): Step {
-        val count = state.membership.protocol.periods + 1
+        val count = state.membership.protocol.periodCount + 1
         val isViewDue = count in FIRST_VIEW_PERIODS || count % VIEW_PERIODS == 0L
-        val counted = state.withProtocol { copy(periods = count, passedOn = 0, viewNeeded = viewNeeded || isViewDue) }
-        val isAlone = count % SEED_PERIODS == 0L && state.membership.livePeers().isEmpty()
+        val counted =
+            state.withProtocol {
+                copy(periodCount = count, urgentForwards = 0, fullViewNeeded = fullViewNeeded || isViewDue)
+            }
+        val isSeedContactDue = count % SEED_PERIODS == 0L && state.membership.livePeers().isEmpty()
         return schedulePeriod(counted)
             .then { detector.probeNext(it) }
-            .then { LostPeers(context).periodFired(it) }
-            .then { if (isAlone) hostList.contactSeeds(it) else Step(it) }
+            .then { PeerReconnection(context).periodFired(it) }
+            .then { if (isSeedContactDue) hostListReader.contactSeeds(it) else Step(it) }
     }
 
     private fun schedulePeriod(state: ProxyState): Step {
         val period = state.settings.membership.period
         return Step(
-            state.withProtocol { copy(periodDue = context.now + period) },
+            state.withProtocol { copy(periodDueAt = context.now + period) },
             listOf(Effect.StartTimer(TimerKey.MembershipPeriod, period)),
         )
     }
@@ -77,13 +80,13 @@
             is PeerMessage.Ping -> exchange.pinged(state, from, message)
             is PeerMessage.Acknowledgement -> exchange.acknowledged(state, from, message)
             is PeerMessage.IndirectPing -> exchange.pingRequested(state, from, message)
-            is PeerMessage.LeavingHostsReported -> leavingReports.received(state, from, message)
+            is PeerMessage.LeavingHostsReported -> leavingHostsReporter.received(state, from, message)
             else -> Step(state)
         }
 
     private fun platformAnswered(state: ProxyState, event: Event.PlatformAnswered): Step =
         if (event.call.owner == PartName.MEMBERSHIP) {
-            hostList.answered(state, event.call, event.answer)
+            hostListReader.answered(state, event.call, event.answer)
         } else {
             Step(state)
         }
@@ -92,10 +95,10 @@
         /** A process without peers contacts the seeds every two seconds. */
         const val SEED_PERIODS = 4L
 
-        /** Periods after the start in which a whole view is requested again: many processes may start together. */
+        /** Periods after the start that request the full view again, because many processes may start together. */
         val FIRST_VIEW_PERIODS = setOf(10L, 40L)
 
-        /** A whole view every ten minutes repairs what gossip missed, at about 0.3 KB/s for 1,300 processes. */
+        /** A full view every ten minutes repairs updates that gossip missed, at about 0.3 KB/s for 1,300 processes. */
         const val VIEW_PERIODS = 1_200L
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/membership/MembershipState.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/membership/MembershipState.kt
@@ -8,22 +8,22 @@
 import kotlinx.collections.immutable.PersistentMap
 import kotlinx.collections.immutable.persistentMapOf
 
-/** The view of the fleet's members. */
+/** This process's view of the members of the fleet. */
 data class MembershipState(
     val self: NodeIdentity,
     val selfDomain: FailureDomainName,
-    /** Other proxies by peer endpoint; only the latest run at an endpoint is kept. */
+    /** Other proxies by peer endpoint; only the latest process at an endpoint is kept. */
     val peers: PersistentMap<Endpoint, Peer> = persistentMapOf(),
-    /** Whether this process announced that it drains. */
+    /** Whether this process has announced that it is draining. */
     val draining: Boolean = false,
-    /** Raised to refute a suspicion of this process. */
+    /** Increased to refute a suspicion of this process; the incarnation number of the SWIM protocol. */
     val refutation: Int = 0,
-    /** What the platform's host list says of leaving hosts. */
+    /** The hosts that are leaving according to the platform's host list. */
     val leavingHosts: LeavingHosts = LeavingHosts(),
     /** The state of the gossip protocol. */
     val protocol: ProtocolState = ProtocolState(),
 ) {
-    // Routing asks for every request, so the grouping is computed at most once for each state.
+    // Routing reads the grouping for every request, so it is computed at most once per state.
     private val workersByDomain: Map<FailureDomainName, List<NodeIdentity>> by lazy(::groupWorkers)
 
     /** Whether [node] is this process or a peer that is not known to be gone. */
@@ -33,8 +33,8 @@
     /** The peers that are not known to be gone, without this process. */
     fun livePeers(): List<Peer> = peers.values.filter { it.condition != PeerCondition.GONE }
 
-    /** The nodes of [domain] that take new work, with this process if it belongs there and is not draining. */
-    fun takingWork(domain: FailureDomainName): List<NodeIdentity> = workersByDomain[domain].orEmpty()
+    /** The nodes of [domain], possibly this process, that are neither gone nor draining nor on a leaving host. */
+    fun nodesAcceptingWork(domain: FailureDomainName): List<NodeIdentity> = workersByDomain[domain].orEmpty()
 
     /** The failure domain of a known node, this process included. */
     fun domainOf(node: NodeIdentity): FailureDomainName? =
--- a/core/src/main/kotlin/dev/hibiscusreach/core/membership/MembershipSupport.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/membership/MembershipSupport.kt
@@ -4,13 +4,13 @@
 import dev.hibiscusreach.core.reducer.StepContext
 import kotlin.random.Random
 
-/** This state with a changed membership slice. */
+/** A copy of this state with [change] applied to its membership slice. */
 internal fun ProxyState.withMembership(change: MembershipState.() -> MembershipState): ProxyState =
     copy(membership = membership.change())
 
-/** This state with a changed protocol state. */
+/** A copy of this state with [change] applied to its state of the gossip protocol. */
 internal fun ProxyState.withProtocol(change: ProtocolState.() -> ProtocolState): ProxyState =
     withMembership { copy(protocol = protocol.change()) }
 
-/** A generator for one decision; [purpose] keeps the decisions within one event independent of each other. */
+/** A random generator for one decision; each [purpose] makes it independent of other decisions on the same event. */
 internal fun StepContext.randomFor(purpose: String): Random = Random(random xor purpose.hashCode().toLong())
--- a/core/src/main/kotlin/dev/hibiscusreach/core/membership/PauseDetection.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/membership/PauseDetection.kt
@@ -8,24 +8,24 @@
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
 
-/** Detects that this process did not run although its period timer was due. */
+/** Detects that this process was paused: its period timer is overdue by more than a threshold. */
 internal object PauseDetection {
     /**
-     * The signal of a pause that ended with the current event, or null. Asked before every event, because after a pause
-     * other events can be handled before the overdue timer.
+     * The signal of a pause that ended with the current event, or null. Called before every event, because other events
+     * can be handled before the overdue timer after a pause.
      */
     fun detect(state: ProxyState, context: StepContext): Signal.PauseDetected? =
-        state.membership.protocol.periodDue
+        state.membership.protocol.periodDueAt
             ?.let { context.now - it }
             ?.takeIf { it > state.settings.membership.pauseThreshold }
             ?.let { Signal.PauseDetected(it.value) }
 
-    /** Draws no conclusions from the silence of peers, because what they sent may be unread still. */
+    /** Cancels open probes and restarts suspicion timeouts, because messages of the peers may still be unread. */
     fun resume(state: ProxyState, context: StepContext): Step {
         val suspected = state.membership.peers.values.filter { it.condition == PeerCondition.SUSPECTED }
         val delay = state.settings.membership.suspicionTimeout
         return Step(
-            state.withProtocol { copy(periodDue = context.now, probes = probes.clear()) },
+            state.withProtocol { copy(periodDueAt = context.now, probes = probes.clear()) },
             suspected.map { Effect.StartTimer(TimerKey.SuspicionTimeout(it.node), delay) },
         )
     }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/membership/Peer.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/membership/Peer.kt
@@ -6,13 +6,14 @@
 import dev.hibiscusreach.core.model.MonotonicTime
 import dev.hibiscusreach.core.model.NodeIdentity
 
-/** What this process knows of one proxy. */
+/** One proxy as this process knows it. */
 data class Peer(
     val node: NodeIdentity,
     val failureDomain: FailureDomainName,
     val condition: PeerCondition = PeerCondition.ALIVE,
+    /** Increased by the peer to refute a suspicion. */
     val refutation: Int = 0,
-    /** Whether the peer announced that it drains. Kept apart because a draining peer can be suspected as well. */
+    /** Whether the peer announced that it is draining. A separate field because a draining peer can be suspected. */
     val draining: Boolean = condition == PeerCondition.DRAINING,
     /** When this process learned of the condition. */
     val conditionSince: MonotonicTime = MonotonicTime(0),
@@ -20,17 +21,17 @@
     /** The gossip entry that describes this peer. */
     fun toUpdate(): PeerUpdate = PeerUpdate(node, failureDomain, condition, refutation)
 
-    /** Whether [update], which is about the same endpoint, is newer than what is known. */
+    /** Whether [update], which is about the same endpoint, takes precedence over this entry. */
     internal fun isSupersededBy(update: PeerUpdate): Boolean =
         if (update.node == node) {
             update.refutation > refutation || update.refutation == refutation && update.condition.rank > condition.rank
         } else {
-            isFollowedBy(update)
+            isReplacedBy(update)
         }
 
-    // Any run follows one that is gone, because the clock of a restarted host can be behind. A run that is gone never
-    // replaces another one, so that a late update about it cannot displace the run that followed.
-    private fun isFollowedBy(update: PeerUpdate): Boolean =
+    // Any live process replaces one that is gone, because the clock of a restarted host can be behind. A gone process
+    // never replaces another one, so that a late update about it cannot displace its successor.
+    private fun isReplacedBy(update: PeerUpdate): Boolean =
         when (update.condition) {
             PeerCondition.GONE -> false
             PeerCondition.SUSPECTED -> update.node.replaces(node)
@@ -49,13 +50,13 @@
                 conditionSince = now,
             )
 
-        // A suspicion says nothing about draining; only the peer itself announces that it takes work again.
+        // A suspicion does not end draining; only the peer itself can announce that it accepts work again.
         private fun isStillDraining(update: PeerUpdate, known: Peer?): Boolean =
             known != null && known.draining && known.node == update.node && update.condition != PeerCondition.ALIVE
     }
 }
 
-// At the same refutation a peer's own announcements lose against a suspicion, which the peer refutes with a higher one.
+// With equal refutation numbers a suspicion overrides the peer's own announcements; a higher number refutes it.
 private val PRECEDENCE =
     listOf(PeerCondition.ALIVE, PeerCondition.DRAINING, PeerCondition.SUSPECTED, PeerCondition.GONE)
 
--- a/core/src/main/kotlin/dev/hibiscusreach/core/membership/LostPeers.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/membership/PeerReconnection.kt
@@ -8,22 +8,22 @@
 import dev.hibiscusreach.core.reducer.StepContext
 
 /**
- * Tries to reach peers that are taken for gone, so that parts of the fleet that were separated find each other again
- * even if the platform is down. Forgets them when no network failure lasts that long.
+ * Tries to reach peers that are considered gone, so that a fleet that was partitioned reconnects even if the platform
+ * is down. Removes peers that have been gone for longer than any expected network failure.
  */
-internal class LostPeers(private val context: StepContext) {
-    /** Pings one peer that is taken for gone; the ping tells it so, and it refutes that if it is alive. */
+internal class PeerReconnection(private val context: StepContext) {
+    /** Pings one random gone peer. The ping carries that condition, and the peer refutes it if it is alive. */
     fun periodFired(state: ProxyState): Step =
-        if (state.membership.protocol.periods % RECONNECTION_PERIODS == 0L) {
-            val remaining = forget(state)
+        if (state.membership.protocol.periodCount % RECONNECTION_PERIODS == 0L) {
+            val remaining = removeExpired(state)
             val gone = remaining.membership.peers.values.filter { it.condition == PeerCondition.GONE }
             val chosen = gone.randomOrNull(context.randomFor("reconnection"))
-            if (chosen == null) Step(remaining) else Pings(context).notify(remaining, chosen.node)
+            if (chosen == null) Step(remaining) else Pings(context).sendUpdates(remaining, chosen.node)
         } else {
             Step(state)
         }
 
-    private fun forget(state: ProxyState): ProxyState {
+    private fun removeExpired(state: ProxyState): ProxyState {
         val expired =
             state.membership.peers.values.filter {
                 it.condition == PeerCondition.GONE && context.now - it.conditionSince > RETENTION
@@ -34,10 +34,10 @@
     }
 
     private companion object {
-        /** One attempt every two seconds costs little and reconnects every process soon after a long separation. */
+        /** One attempt every two seconds costs little and reconnects every process soon after a long partition. */
         const val RECONNECTION_PERIODS = 4L
 
-        /** Longer than the hour for which regions lose their connection occasionally. */
+        /** Longer than the network failures of an hour that occur occasionally between regions. */
         val RETENTION: Millis = (4 * 60 * 60).inSeconds
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/membership/PeerUpdates.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/membership/PeerUpdates.kt
@@ -11,26 +11,26 @@
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
 
-/** Applies gossip entries to the view and reports what changed. */
+/** Applies gossip entries to the view of the members and emits the resulting effects and signals. */
 internal class PeerUpdates(private val context: StepContext) {
-    /** Applies [updates] in order; entries older than what is known change nothing. */
-    fun apply(state: ProxyState, updates: List<PeerUpdate>, spread: Boolean = true): Step {
-        val step = updates.fold(Step(state)) { step, update -> step.then { apply(it, update, spread) } }
+    /** Applies [updates] in order and ignores outdated ones; [disseminate] queues the applied ones for other peers. */
+    fun apply(state: ProxyState, updates: List<PeerUpdate>, disseminate: Boolean = true): Step {
+        val step = updates.fold(Step(state)) { step, update -> step.then { apply(it, update, disseminate) } }
         return step.copy(signals = step.signals.distinct())
     }
 
-    /** Records that this process suspects [peer], or takes it for gone. */
+    /** Records that this process suspects [peer] or considers it gone. */
     fun declare(state: ProxyState, peer: Peer, condition: PeerCondition): Step =
         apply(state, listOf(peer.toUpdate().copy(condition = condition)))
 
-    private fun apply(state: ProxyState, update: PeerUpdate, spread: Boolean): Step {
+    private fun apply(state: ProxyState, update: PeerUpdate, disseminate: Boolean): Step {
         val membership = state.membership
         val known = membership.peers[update.node.peerEndpoint]
         return when {
             update.node == membership.self -> refute(state, update)
             update.node.peerEndpoint == membership.self.peerEndpoint -> Step(state)
             known == null && update.condition == PeerCondition.GONE -> Step(state)
-            known == null || known.isSupersededBy(update) -> change(state, known, update, spread)
+            known == null || known.isSupersededBy(update) -> change(state, known, update, disseminate)
             else -> Step(state)
         }
     }
@@ -39,9 +39,9 @@
         val membership = state.membership
         val contested = update.condition == PeerCondition.SUSPECTED || update.condition == PeerCondition.GONE
         val ownCondition = membership.selfUpdate().condition
-        val outdated = update.refutation > membership.refutation ||
+        val needsRefutation = update.refutation > membership.refutation ||
             update.refutation == membership.refutation && (contested || update.condition > ownCondition)
-        return if (outdated) {
+        return if (needsRefutation) {
             val raised = state.withMembership { copy(refutation = update.refutation + 1) }
             Step(raised, listOf(log(LogLevel.WARN, "refuted a report about this process", update)))
         } else {
@@ -49,13 +49,13 @@
         }
     }
 
-    private fun change(state: ProxyState, known: Peer?, update: PeerUpdate, spread: Boolean): Step {
+    private fun change(state: ProxyState, known: Peer?, update: PeerUpdate, disseminate: Boolean): Step {
         val peer = Peer.of(update, known, context.now)
         val next =
             state.withMembership {
                 copy(
                     peers = peers.put(peer.node.peerEndpoint, peer),
-                    protocol = protocol.scheduling(known, peer).spreading(peer, spread, peers.size + 1),
+                    protocol = protocol.withNewTarget(known, peer).withPendingUpdate(peer, disseminate, peers.size + 1),
                 )
             }
         return Step(next, effects(state, known, peer), signals(known, peer))
@@ -92,19 +92,19 @@
             }
         }
 
-    private fun ProtocolState.scheduling(known: Peer?, peer: Peer): ProtocolState {
+    private fun ProtocolState.withNewTarget(known: Peer?, peer: Peer): ProtocolState {
         val isNew = known == null || known.condition == PeerCondition.GONE
         return if (isNew && peer.condition != PeerCondition.GONE) {
-            val position = context.randomFor("rotation/${peer.node}").nextInt(rotation.size + 1)
-            copy(rotation = rotation.add(position, peer.node.peerEndpoint))
+            val position = context.randomFor("rotation/${peer.node}").nextInt(remainingTargets.size + 1)
+            copy(remainingTargets = remainingTargets.add(position, peer.node.peerEndpoint))
         } else {
             this
         }
     }
 
-    private fun ProtocolState.spreading(peer: Peer, spread: Boolean, fleetSize: Int): ProtocolState =
-        if (spread) {
-            copy(pending = pending.put(peer.node.peerEndpoint, Piggyback.repetitions(fleetSize)))
+    private fun ProtocolState.withPendingUpdate(peer: Peer, disseminate: Boolean, fleetSize: Int): ProtocolState =
+        if (disseminate) {
+            copy(pendingUpdates = pendingUpdates.put(peer.node.peerEndpoint, Piggyback.repetitions(fleetSize)))
         } else {
             this
         }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/membership/Helpers.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/membership/PingRelays.kt
@@ -5,9 +5,9 @@
 import dev.hibiscusreach.core.reducer.ProxyState
 import dev.hibiscusreach.core.reducer.StepContext
 
-/** Peers that are asked to ping another one. */
-internal object Helpers {
-    /** Random peers for [target], of different failure domains as far as possible because these fail independently. */
+/** Chooses the peers that are asked for indirect pings of another one. */
+internal object PingRelays {
+    /** Random peers to ping [target], if possible of different failure domains, because these fail independently. */
     fun choose(state: ProxyState, target: NodeIdentity, context: StepContext): List<Peer> {
         val candidates =
             state.membership
--- a/core/src/main/kotlin/dev/hibiscusreach/core/membership/Pings.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/membership/Pings.kt
@@ -10,33 +10,33 @@
 
 /** Sends pings and acknowledgements with piggybacked updates. */
 internal class Pings(private val context: StepContext) {
-    /** Pings [target] and waits for the acknowledgement. */
+    /** Pings [target] and expects an acknowledgement before the ping timeout. */
     fun probe(state: ProxyState, target: NodeIdentity): Step {
-        val wantsView = state.membership.protocol.viewNeeded && !isViewRequested(state)
-        return await(state, Probe.Own(target, context.now, wantsView = wantsView))
+        val wantsView = state.membership.protocol.fullViewNeeded && !isViewRequested(state)
+        return startProbe(state, Probe.Own(target, context.now, wantsView = wantsView))
     }
 
-    /** Pings the target of [probe] and records the probe under the ping's sequence. */
-    fun await(state: ProxyState, probe: Probe): Step {
+    /** Pings the target of [probe] and records the probe under the ping's sequence number. */
+    fun startProbe(state: ProxyState, probe: Probe): Step {
         val sequence = state.membership.protocol.nextSequence
         val recorded = state.withProtocol { copy(probes = probes.put(sequence, probe)) }
         val timer = Effect.StartTimer(TimerKey.PingTimeout(sequence), state.settings.membership.pingTimeout)
         return send(recorded, probe.target, probe).withEffects(timer)
     }
 
-    /** Sends updates to [receiver] without waiting for the acknowledgement. */
-    fun notify(state: ProxyState, receiver: NodeIdentity): Step = send(state, receiver, probe = null)
+    /** Sends updates to [receiver] in a ping whose acknowledgement is not awaited. */
+    fun sendUpdates(state: ProxyState, receiver: NodeIdentity): Step = send(state, receiver, probe = null)
 
-    /** Answers the ping with [sequence]; [target] is set if the answer is passed on for another node. */
+    /** Acknowledges the ping with [sequence]; [target] is set if the acknowledgement of another node is relayed. */
     fun acknowledge(
         state: ProxyState,
         receiver: NodeIdentity,
         sequence: Long,
-        wholeView: Boolean = false,
+        fullView: Boolean = false,
         target: NodeIdentity? = null,
     ): Step {
         val piggyback =
-            if (wholeView) {
+            if (fullView) {
                 Piggyback.view(state, receiver)
             } else {
                 Piggyback.take(state, receiver, context.randomFor("acknowledgement/$sequence"))
--- a/core/src/main/kotlin/dev/hibiscusreach/core/membership/ProtocolState.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/membership/ProtocolState.kt
@@ -9,22 +9,22 @@
 import kotlinx.collections.immutable.persistentListOf
 import kotlinx.collections.immutable.persistentMapOf
 
-/** A ping that waits for its acknowledgement. */
+/** An outstanding ping. */
 sealed interface Probe {
     /** The pinged node. */
     val target: NodeIdentity
 
-    /** A ping of this process. */
+    /** A ping for this process's own failure detection. */
     data class Own(
         override val target: NodeIdentity,
         val sentAt: MonotonicTime,
-        /** Whether other peers were already asked to ping the target. */
+        /** Whether other peers have been asked to ping the target. */
         val indirect: Boolean = false,
-        /** Whether the target was asked for its whole view. */
+        /** Whether the target was asked for its full view. */
         val wantsView: Boolean = false,
     ) : Probe
 
-    /** A ping on behalf of [requester], which knows it by [requesterSequence]. */
+    /** A ping on behalf of [requester], which requested it with the sequence number [requesterSequence]. */
     data class Relayed(
         override val target: NodeIdentity,
         val requester: NodeIdentity,
@@ -32,29 +32,33 @@
     ) : Probe
 }
 
-/** The state of the gossip protocol and of the reading of the platform's host list. */
+/** The state of the gossip protocol and of reads of the platform's host list. */
 data class ProtocolState(
     val nextSequence: Long = 1,
+    /** Outstanding pings by sequence number. */
     val probes: PersistentMap<Long, Probe> = persistentMapOf(),
-    /** Peers still to be pinged in this round, next one last. */
-    val rotation: PersistentList<Endpoint> = persistentListOf(),
-    /** Peers whose update is still to be piggybacked, with the number of messages left. */
-    val pending: PersistentMap<Endpoint, Int> = persistentMapOf(),
+    /** Peers still to be pinged in this round; the next one is the last element. */
+    val remainingTargets: PersistentList<Endpoint> = persistentListOf(),
+    /** Peers whose updates are still to be piggybacked, with the number of remaining messages. */
+    val pendingUpdates: PersistentMap<Endpoint, Int> = persistentMapOf(),
     /** When the period timer is due; null before the start. */
-    val periodDue: MonotonicTime? = null,
-    val periods: Long = 0,
-    /** How often urgent updates of others were passed on in this period. */
-    val passedOn: Int = 0,
-    /** Whether this process should ask a peer for its whole view. */
-    val viewNeeded: Boolean = true,
+    val periodDueAt: MonotonicTime? = null,
+    /** Periods since the start. */
+    val periodCount: Long = 0,
+    /** Number of times that urgent updates of others were forwarded in this period. */
+    val urgentForwards: Int = 0,
+    /** Whether this process should request the full view of a peer. */
+    val fullViewNeeded: Boolean = true,
+    /** The outstanding read of the host list, or null. */
     val hostListCall: PlatformCallNumber? = null,
-    val hostListCalls: Long = 0,
+    /** Reads of the host list since the start; the sequence number of the latest one. */
+    val hostListCallCount: Long = 0,
 ) {
-    /** Whether so many probes are open that no optional ones are started. */
+    /** Whether so many probes are outstanding that no optional ones are started. */
     internal val isBusy: Boolean get() = probes.size >= MAXIMUM_PROBES
 
     private companion object {
-        /** Bounds the work when many links fail at once, such as after the loss of a failure domain. */
+        /** Limits the load when many links fail at once, such as after the loss of a failure domain. */
         const val MAXIMUM_PROBES = 32
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/membership/Watchers.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/membership/Watchers.kt
@@ -5,12 +5,12 @@
 import dev.hibiscusreach.core.reducer.ProxyState
 import dev.hibiscusreach.core.reducer.RendezvousHash
 
-/** Which processes of a failure domain talk to the platform on behalf of the whole domain. */
+/** Determines the watchers: the processes of a failure domain that call the platform on behalf of the whole domain. */
 object Watchers {
-    /** The watchers of [domain], first one first. */
+    /** The watchers of [domain], in the order of their rendezvous hash. */
     fun of(state: ProxyState, domain: FailureDomainName): List<NodeIdentity> =
         RendezvousHash
-            .rank("watchers/$domain", state.membership.takingWork(domain)) { it.peerEndpoint }
+            .rank("watchers/$domain", state.membership.nodesAcceptingWork(domain)) { it.peerEndpoint }
             .take(state.settings.membership.watchersPerFailureDomain)
 
     /** Whether this process is a watcher of its own failure domain. */
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/PermitHomes.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/PermitHomes.kt
@@ -10,11 +10,11 @@
 internal object PermitHomes {
     /** The permit home of [caller] in [domain], or null if no process of the domain takes work. */
     fun home(state: ProxyState, caller: CallerName, domain: FailureDomainName): NodeIdentity? =
-        RendezvousHash.first(key(caller), state.membership.takingWork(domain)) { it.peerEndpoint }
+        RendezvousHash.first(key(caller), state.membership.nodesAcceptingWork(domain)) { it.peerEndpoint }
 
     /** The process of this failure domain that would be the permit home without this process. */
     fun predecessor(state: ProxyState, caller: CallerName): NodeIdentity? {
-        val others = state.membership.takingWork(state.settings.failureDomain) - state.settings.self
+        val others = state.membership.nodesAcceptingWork(state.settings.failureDomain) - state.settings.self
         return RendezvousHash.first(key(caller), others) { it.peerEndpoint }
     }
 
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/ShareRelease.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/ShareRelease.kt
@@ -56,7 +56,7 @@
     // Both can take themselves for the home while the news of one has not reached the other.
     private fun mustYield(state: ProxyState, database: DatabaseName, to: NodeIdentity): Boolean {
         val self = state.settings.self
-        val isDraining = self !in state.membership.takingWork(state.settings.failureDomain)
+        val isDraining = self !in state.membership.nodesAcceptingWork(state.settings.failureDomain)
         return isDraining || RendezvousHash.first(database.value, listOf(self, to)) { it.peerEndpoint } == to
     }
 
--- a/core/src/main/kotlin/dev/hibiscusreach/core/reducer/DatabaseHomes.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/reducer/DatabaseHomes.kt
@@ -18,7 +18,7 @@
     /** The home of [group] in [domain], or null if no process of the domain takes work. */
     fun home(state: ProxyState, group: DatabaseGroup, domain: FailureDomainName): NodeIdentity? =
         if (domain in domains(group)) {
-            RendezvousHash.first(group.name.value, state.membership.takingWork(domain)) { it.peerEndpoint }
+            RendezvousHash.first(group.name.value, state.membership.nodesAcceptingWork(domain)) { it.peerEndpoint }
         } else {
             null
         }
--- a/core/src/test/kotlin/dev/hibiscusreach/core/configuration/DeliveryTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/configuration/ConfigurationDeliveryTest.kt
@@ -18,14 +18,14 @@
 import strikt.assertions.isEqualTo
 import strikt.assertions.isLessThan
 
-class DeliveryTest {
+class ConfigurationDeliveryTest {
     private val fleet = TestFleet()
     private val large = configuration(generation = 1, databases = 1_600, limit = 4)
 
-    // Guards against a configuration that no proxy gets because it is too large for a frame, and against one that
-    // takes up the link between regions with every edit.
+    // Guards against a configuration that cannot be sent because it is too large for a frame, and against edits that
+    // saturate the link between regions because each one sends the whole configuration.
     @Test
-    fun `a large configuration travels in frames of less than a megabyte and an edit of it in a small message`() {
+    fun `a large configuration is sent in frames below 1 MiB and an edit of it in a message below 1 KiB`() {
         val nodes = fleet.startAll(count = 8)
         fleet.platform.store(large)
         fleet.run(seconds = 2)
@@ -41,19 +41,19 @@
         expectThat(nodes.flatMap { it.sent }.maxOf { size(it.message) }).isLessThan(KIBIBYTE)
     }
 
-    // Guards against changes that are applied to another generation than the one they were made for.
+    // Guards against changes that are applied to a generation other than the one they are based on.
     @Test
     fun `a process that missed many edits gets the whole configuration`() {
         val nodes = fleet.startAll(count = 4, domains = listOf("yard", "dublin"))
         fleet.platform.store(configuration(generation = 1, databases = 3, limit = 1))
         fleet.run(seconds = 1)
-        fleet.isCut = { from, to -> from != to && (from == "dublin" || to == "dublin") }
+        fleet.isPartitioned = { from, to -> from != to && (from == "dublin" || to == "dublin") }
         (2L..40L).forEach {
             fleet.platform.store(configuration(it, databases = it.toInt(), limit = it.toInt()))
             fleet.run(seconds = 1)
         }
 
-        fleet.isCut = { _, to -> to == "platform" }
+        fleet.isPartitioned = { _, to -> to == "platform" }
         fleet.run(seconds = 15)
 
         val expected = configuration(generation = 40, databases = 40, limit = 40)
--- a/core/src/test/kotlin/dev/hibiscusreach/core/configuration/ConfigurationEditTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/configuration/ConfigurationEditTest.kt
@@ -17,34 +17,34 @@
 
 class ConfigurationEditTest {
     private val platform = FakePlatform()
-    private val loading = RequestedChange("load-1", Examples.inventory, Examples.rules)
+    private val load = RequestedChange("load-1", Examples.inventory, Examples.rules)
 
-    // Guards against an edit that runs twice because its answer was lost.
+    // Guards against an edit that is applied twice because it was sent again after its answer was lost.
     @Test
     fun `an edit whose answer was lost is recognized when it is sent again`() {
-        platform.losesAnswers = true
-        carryOut(loading)
-        platform.losesAnswers = false
+        platform.dropsPutAnswers = true
+        applyChange(load)
+        platform.dropsPutAnswers = false
 
-        expectThat(carryOut(loading)).isEqualTo(EditResult.AlreadyApplied(generation = 1))
+        expectThat(applyChange(load)).isEqualTo(EditResult.AlreadyApplied(generation = 1))
     }
 
-    // Guards against a change that is taken for an earlier one and never applied.
+    // Guards against a change that is mistaken for an earlier one and never applied.
     @Test
-    fun `another change with the identifier of the latest one is refused`() {
-        carryOut(loading)
+    fun `a different change with the identifier of the latest one is rejected`() {
+        applyChange(load)
 
-        expectThat(carryOut(loading.copy(rules = limit(8)))).isA<EditResult.Invalid>()
+        expectThat(applyChange(load.copy(rules = limit(8)))).isA<EditResult.Invalid>()
     }
 
-    // Guards against two operators who overwrite each other's edit.
+    // Guards against lost updates when two operators edit the same stored configuration.
     @Test
-    fun `an edit that loses against a concurrent one is not stored and shows what the other one changed`() {
-        carryOut(loading)
+    fun `an edit that conflicts with a concurrent one is not stored and the change by the other one can be shown`() {
+        applyChange(load)
         val before = stored()
         val raised = RequestedChange("raise", rules = limit(8))
         val lowered = ConfigurationEdit.prepare(before, RequestedChange("lower", rules = limit(2)))
-        carryOut(raised)
+        applyChange(raised)
 
         val answer = platform.answer((lowered as EditResult.Prepared).root)
 
@@ -54,31 +54,31 @@
             .containsExactly("changed rule of caller tablet: connection limit 4 -> 8")
     }
 
-    // Guards against a generation that is used up by a change that changes nothing.
+    // Guards against a new generation for a change without any effect.
     @Test
-    fun `a change to the content that is stored already yields nothing to put`() {
-        carryOut(loading)
+    fun `a change to the content that is already stored writes nothing`() {
+        applyChange(load)
 
-        expectThat(carryOut(loading.copy(identifier = "load-2"))).isEqualTo(EditResult.NothingToChange(generation = 1))
+        expectThat(applyChange(load.copy(identifier = "load-2"))).isEqualTo(EditResult.NothingToChange(generation = 1))
     }
 
-    // Guards against faulty rules that reach the proxies.
+    // Guards against invalid rules that reach the proxies.
     @Test
-    fun `a change with faults is refused as a whole`() {
-        expectThat(carryOut(loading.copy(rules = Rules(listOf(CallerRule(CallerName("stranger")))))))
+    fun `a change with faults is rejected as a whole`() {
+        expectThat(applyChange(load.copy(rules = Rules(listOf(CallerRule(CallerName("stranger")))))))
             .isA<EditResult.Invalid>()
             .get { faults.map { it.toString() } }
             .containsExactly("rule of caller stranger: the inventory has no such caller")
     }
 
-    // Guards against a configuration above the platform's limit of a megabyte for one value.
+    // Guards against a configuration that cannot be stored because it exceeds the platform's limit of 1 MB for a value.
     @Test
     fun `a configuration of several megabytes is stored in chunks and read back`() {
         val servers = (1..10_000).map { Examples.server("jobs-$it", port = 2 * it) }
         val group = Examples.inventory.databaseGroups.single().copy(servers = servers)
         val inventory = Examples.inventory.copy(databaseGroups = listOf(group))
 
-        carryOut(RequestedChange("large", inventory))
+        applyChange(RequestedChange("large", inventory))
 
         expectThat(stored().configuration).isEqualTo(Configuration(generation = 1, inventory))
         expectThat(platform.objects.values.maxOf { it.value.length })
@@ -87,7 +87,7 @@
 
     private fun limit(connections: Int) = Rules(listOf(CallerRule(CallerName("tablet"), connections)))
 
-    private fun carryOut(change: RequestedChange): EditResult {
+    private fun applyChange(change: RequestedChange): EditResult {
         val result = ConfigurationEdit.prepare(stored(), change)
         if (result is EditResult.Prepared) (result.chunks + result.root).forEach(platform::answer)
         return result
--- a/core/src/test/kotlin/dev/hibiscusreach/core/configuration/ConfigurationPartTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/configuration/ConfigurationPartTest.kt
@@ -18,12 +18,12 @@
 import strikt.assertions.isFalse
 import strikt.assertions.isLessThan
 
-/** The simulated fleet checks after every event that no process went back to a lower generation. */
+/** The simulated fleet checks after every event that no process returned to a lower generation. */
 class ConfigurationPartTest {
     private val fleet = TestFleet()
     private val platform = fleet.platform
 
-    // Guards against an accepted edit that stays unknown to some processes.
+    // Guards against an accepted edit that does not reach some processes.
     @Test
     fun `an accepted edit is in effect on every process within a second`() {
         val nodes = fleet.startAll(count = 8)
@@ -34,7 +34,7 @@
         expectInEffect(nodes, generation = 1)
     }
 
-    // Guards against calls to the platform that grow with the fleet.
+    // Guards against a platform load that grows with the number of processes.
     @Test
     fun `only the two watchers of each failure domain read the configuration`() {
         val nodes = fleet.startAll(count = 12)
@@ -46,12 +46,12 @@
         fleet.run(seconds = 60)
 
         expectInEffect(nodes, generation = 1)
-        expectThat(platform.users { it !is PlatformCall.ListHosts }).containsExactlyInAnyOrder(watchers)
-        // Per watcher: two long polls and reads of the root a minute, after the edit one more poll and the chunk.
+        expectThat(platform.callingNodes { it !is PlatformCall.ListHosts }).containsExactlyInAnyOrder(watchers)
+        // Per watcher: two long polls and two reads of the root a minute; after the edit one more poll and the chunk.
         expectThat(platform.calls.count { it.call !is PlatformCall.ListHosts }).isLessThan(watchers.size * 9)
     }
 
-    // Guards against a process that cannot serve because it started during an outage.
+    // Guards against a process that cannot serve requests because it started during an outage of the platform.
     @Test
     fun `a process that starts while the platform is down gets the configuration from peers`() {
         store(generation = 3)
@@ -82,7 +82,7 @@
     @Test
     fun `a failure domain without the platform gets edits from the other domains`() {
         val nodes = fleet.startAll(count = 8)
-        fleet.isCut = { from, to -> from == "yard" && to == "platform" }
+        fleet.isPartitioned = { from, to -> from == "yard" && to == "platform" }
 
         store(generation = 1)
         fleet.run(seconds = 1)
@@ -90,7 +90,7 @@
         expectInEffect(nodes, generation = 1)
     }
 
-    // Guards against edits that nobody reads because the watchers are dead.
+    // Guards against edits that no process reads because all watchers of the failure domain crashed.
     @Test
     fun `other processes watch when the watchers are gone`() {
         val nodes = fleet.startAll(count = 8, domains = listOf("yard"))
@@ -104,7 +104,7 @@
         expectInEffect(nodes - watchers, generation = 1)
     }
 
-    // Guards against an accepted edit that is lost because the store was restored from a backup.
+    // Guards against the loss of an accepted edit when the store is restored from a backup.
     @Test
     fun `a store with a lower generation gets the one in effect written back although answers are lost`() {
         store(generation = 1)
@@ -114,17 +114,17 @@
         fleet.run(seconds = 1)
         platform.objects.clear()
         platform.objects += backup
-        platform.losesAnswers = true
+        platform.dropsPutAnswers = true
 
         fleet.run(seconds = 40)
-        platform.losesAnswers = false
+        platform.dropsPutAnswers = false
         fleet.run(seconds = 5)
 
         expectThat(platform.storedGeneration()).isEqualTo(2)
         expectInEffect(nodes, generation = 2)
     }
 
-    // Guards against late or repeated answers and messages that undo an edit.
+    // Guards against late or duplicate answers and messages that revert an edit.
     @Test
     fun `late watch events and stale peers do not lower the generation`() {
         store(generation = 1)
@@ -145,9 +145,9 @@
         expectInEffect(nodes, generation = 2)
     }
 
-    // Guards against a process that waits for ever for a generation that no peer has.
+    // Guards against a process that waits forever for a generation that no peer has.
     @Test
-    fun `an announced generation that nobody delivers does not block the next edit`() {
+    fun `an announced generation that no peer delivers does not block the next edit`() {
         val nodes = fleet.startAll(count = 4)
         nodes.forEach { receive(it, PeerMessage.ConfigurationAnnounced(generation = 1_000)) }
 
@@ -158,7 +158,7 @@
         expectInEffect(nodes, generation = 1)
     }
 
-    // Guards against an invalid root that puts the process out of service or stops the watch.
+    // Guards against an invalid root that stops the process from serving or ends the watch.
     @Test
     fun `a root that cannot be read changes nothing and is read again`() {
         store(generation = 1)
--- a/core/src/test/kotlin/dev/hibiscusreach/core/configuration/InventoryCheckTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/configuration/InventoryCheckTest.kt
@@ -20,7 +20,7 @@
         expectThat(InventoryCheck.check(Examples.inventory, Examples.rules)).isEmpty()
     }
 
-    // Guards against operators who must run the check again for each fault.
+    // Guards against a check that stops at the first fault, so that operators must repeat it for each one.
     @Test
     fun `all faults are reported at once`() {
         val server = Examples.server("jobs-1", port = 5_000)
--- a/core/src/test/kotlin/dev/hibiscusreach/core/configuration/RandomFailureTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/configuration/RandomFailureTest.kt
@@ -11,12 +11,12 @@
 import strikt.assertions.isEqualTo
 import kotlin.random.Random
 
-/** Failures at random, several at a time; the fleet checks that no process goes back to a lower generation. */
+/** Injects random faults that overlap; the fleet checks that no process returns to a lower generation. */
 class RandomFailureTest {
     private val domains = listOf("yard", "store", "dublin")
     private val nodes = mutableMapOf<Int, TestNode>()
 
-    // Guards against combinations of failures after which processes stay apart or miss an accepted edit.
+    // Guards against combinations of faults after which processes stay partitioned or miss an accepted edit.
     @ParameterizedTest
     @ValueSource(ints = [1, 2, 3, 4, 5, 6, 7, 8])
     fun `all processes agree after failures in any combination`(seed: Int) {
@@ -26,12 +26,12 @@
         fleet.run(seconds = 5)
 
         repeat(STEPS) {
-            fail(fleet, random)
+            injectFault(fleet, random)
             fleet.run(seconds = 1)
         }
-        fleet.isCut = { _, _ -> false }
+        fleet.isPartitioned = { _, _ -> false }
         fleet.platform.isDown = false
-        fleet.platform.losesAnswers = false
+        fleet.platform.dropsPutAnswers = false
         edit(fleet)
         fleet.run(seconds = 40)
 
@@ -41,17 +41,17 @@
         }
     }
 
-    private fun fail(fleet: TestFleet, random: Random) {
+    private fun injectFault(fleet: TestFleet, random: Random) {
         val number = random.nextInt(PROCESSES) + 1
         val domain = domains.random(random)
         val other = (domains + "platform").random(random)
         when (random.nextInt(ACTIONS)) {
             0 -> fleet.pause(nodes.getValue(number), millis = random.nextInt(500, 6_000))
             1 -> start(fleet, number)
-            2 -> fleet.isCut = { from, to -> from != to && (from == domain && to == other || to == domain) }
-            3 -> fleet.isCut = { _, _ -> false }
+            2 -> fleet.isPartitioned = { from, to -> from != to && (from == domain && to == other || to == domain) }
+            3 -> fleet.isPartitioned = { _, _ -> false }
             4 -> fleet.platform.isDown = !fleet.platform.isDown
-            5 -> fleet.platform.losesAnswers = !fleet.platform.losesAnswers
+            5 -> fleet.platform.dropsPutAnswers = !fleet.platform.dropsPutAnswers
             else -> if (!fleet.platform.isDown) edit(fleet)
         }
     }
--- a/core/src/test/kotlin/dev/hibiscusreach/core/membership/FakePlatform.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/membership/FakePlatform.kt
@@ -8,33 +8,33 @@
 import dev.hibiscusreach.core.model.Configuration
 import dev.hibiscusreach.core.model.NodeIdentity
 
-/** A call that [node] made. */
-internal data class PlatformUse(val node: NodeIdentity, val call: PlatformCall)
+/** A call to the platform by [node]. */
+internal data class RecordedCall(val node: NodeIdentity, val call: PlatformCall)
 
-/** The platform's object store in memory, with the faults that tests ask for. */
+/** The platform's object store and host list in memory, with injected faults. */
 internal class FakePlatform {
     val objects = mutableMapOf<String, PlatformAnswer.Found>()
     var hosts = listOf<ListedHost>()
-    val calls = mutableListOf<PlatformUse>()
+    val calls = mutableListOf<RecordedCall>()
     var isDown = false
 
-    /** Puts take effect, but their answers are lost. */
-    var losesAnswers = false
+    /** Whether the answers to puts are lost; the puts take effect. */
+    var dropsPutAnswers = false
 
-    /** Stores [configuration] as an operator's accepted edit. */
+    /** Stores [configuration] as an accepted edit of an operator. */
     fun store(configuration: Configuration, changes: List<String> = emptyList()) {
         val encoded = ConfigurationCodec.encode(configuration, changes)
         encoded.chunks.forEach { (hash, chunk) -> put(ConfigurationCodec.chunkKey(hash), chunk) }
         put(ConfigurationCodec.ROOT_KEY, ConfigurationCodec.encodeRoot(encoded.root))
     }
 
-    fun users(isCounted: (PlatformCall) -> Boolean): Set<NodeIdentity> =
+    fun callingNodes(isCounted: (PlatformCall) -> Boolean): Set<NodeIdentity> =
         calls.filter { isCounted(it.call) }.mapTo(mutableSetOf()) { it.node }
 
     fun storedGeneration(): Long? =
         objects[ConfigurationCodec.ROOT_KEY]?.let { ConfigurationCodec.decodeRoot(it.value).get()?.generation }
 
-    /** The answer to [call], or null while a watch has nothing to tell. */
+    /** The answer to [call], or null while the object of a watch is unchanged. */
     fun answer(call: PlatformCall): PlatformAnswer? =
         when {
             isDown -> PlatformAnswer.Failed("outage")
@@ -49,7 +49,7 @@
         val isCurrent = version == call.expectedVersion
         if (isCurrent) put(call.key, call.value)
         return when {
-            losesAnswers -> PlatformAnswer.Failed("answer lost")
+            dropsPutAnswers -> PlatformAnswer.Failed("answer lost")
             isCurrent -> PlatformAnswer.Stored(call.key, version + 1)
             else -> PlatformAnswer.VersionConflict(call.key, version)
         }
--- a/core/src/test/kotlin/dev/hibiscusreach/core/membership/MembershipCostTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/membership/MembershipCostTest.kt
@@ -24,7 +24,7 @@
     private val random = Random(1)
     private val node = TestNode(ProxySettings(identity(0), domain))
 
-    // Guards against traffic that grows with the fleet: the limit is 7 KB a second for all control tasks of a node.
+    // Guards against traffic that grows with the fleet. The limit for all control traffic of a node is 7 KB a second.
     @ParameterizedTest
     @ValueSource(ints = [10, 1_300])
     fun `pings and acknowledgements take less than 3 KB a second for any size of the fleet`(size: Int) {
@@ -38,7 +38,7 @@
         expectThat(bytes / (PERIODS * PERIOD_MILLIS / MILLIS_PER_SECOND)).isLessThan(3_000)
     }
 
-    /** One period in which the process pings a peer that answers, and is pinged by another one. */
+    /** Bytes sent and received in a period in which the process pings a peer and is pinged by another one. */
     private fun period(peers: List<PeerUpdate>, now: Long): Long {
         val sent = handle(Event.TimerFired(TimerKey.MembershipPeriod), now)
         val answers = sent.flatMap { acknowledge(it, listOf(PeerUpdate(it.to, domain, PeerCondition.ALIVE)), now) }
--- a/core/src/test/kotlin/dev/hibiscusreach/core/membership/MembershipPartTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/membership/MembershipPartTest.kt
@@ -25,17 +25,17 @@
     private val fleet = TestFleet()
     private val yard = FailureDomainName("yard")
 
-    // Guards against a process that joins through one seed and never learns of the others.
+    // Guards against a process that joins through one seed and never discovers the other processes.
     @Test
-    fun `processes that share one seed find each other`() {
+    fun `processes that share one seed discover each other`() {
         val nodes = fleet.startAll(count = 8)
 
         expectThat(nodes).all { get { membership.livePeers() }.hasSize(7) }
     }
 
-    // Guards against a fleet that cannot form because the seeds of the settings are out of date.
+    // Guards against processes that stay unconnected because the seeds in their settings are out of date.
     @Test
-    fun `processes without seeds find each other through the host list`() {
+    fun `processes without seeds discover each other through the host list`() {
         fleet.platform.hosts = (1..6).map { ListedHost(TestFleet.endpoint(it), yard) }
         val nodes = (1..6).map { fleet.start(it, seeds = emptyList()) }
 
@@ -44,7 +44,7 @@
         expectThat(nodes).all { get { membership.livePeers() }.hasSize(5) }
     }
 
-    // Guards against work that is sent to a dead process for longer than the takeover needs.
+    // Guards against work that is sent to a crashed process for longer than the takeover of its work needs.
     @Test
     fun `a killed process is gone for all peers within 5 seconds`() {
         val nodes = fleet.startAll(count = 8)
@@ -61,9 +61,9 @@
         }
     }
 
-    // Guards against a restarted process that is taken for its earlier run.
+    // Guards against a restarted process that is mistaken for its predecessor.
     @Test
-    fun `a restart at the same address replaces the earlier run`() {
+    fun `a process restarted at the same address replaces its predecessor`() {
         val nodes = fleet.startAll(count = 6)
         val earlier = nodes[2]
 
@@ -77,9 +77,9 @@
         }
     }
 
-    // Guards against a host that is ignored because its clock was wrong when it booted.
+    // Guards against a restarted process that is ignored because the clock of its host is behind.
     @Test
-    fun `a restart with an earlier clock replaces the run that is gone`() {
+    fun `a process restarted with an earlier clock replaces its predecessor once that is gone`() {
         val nodes = fleet.startAll(count = 6)
         val earlier = nodes[2]
 
@@ -90,11 +90,11 @@
         expectThat(restarted.membership.livePeers()).hasSize(5)
     }
 
-    // Guards against false alarms by one broken path.
+    // Guards against live peers that are considered gone because a single network path is broken.
     @Test
     fun `peers that cannot reach each other directly are kept alive by pings through others`() {
         val nodes = fleet.startAll(count = 9, domains = listOf("yard", "store", "dublin"))
-        fleet.isCut = { from, to -> setOf(from, to) == setOf("yard", "store") }
+        fleet.isPartitioned = { from, to -> setOf(from, to) == setOf("yard", "store") }
 
         fleet.run(seconds = 60)
 
@@ -102,9 +102,9 @@
         expectThat(nodes).all { get { membership.livePeers() }.hasSize(8) }
     }
 
-    // Guards against a process that stays dead for its peers, or takes them for dead, because it did not run.
+    // Guards against a paused process that stays gone for its peers, or that considers them gone when it resumes.
     @Test
-    fun `a paused process notices its pause and is taken for alive again`() {
+    fun `a paused process detects its pause and is considered alive again`() {
         val nodes = fleet.startAll(count = 8)
         val paused = nodes[4]
         fleet.pause(paused, millis = 10_000)
@@ -123,9 +123,9 @@
         }
     }
 
-    // Guards against processes that are taken for gone because their refutation spreads slower than the suspicion.
+    // Guards against processes that are considered gone because refutations spread more slowly than suspicions.
     @Test
-    fun `processes that pause for less than the suspicion time are not taken for gone`() {
+    fun `processes that pause for less than the suspicion timeout are not considered gone`() {
         val nodes = fleet.startAll(count = 60)
         nodes.forEach { it.signals.clear() }
 
@@ -137,38 +137,38 @@
         expectThat(nodes).all { get { signals.filterIsInstance<Signal.PeerGone>() }.isEmpty() }
     }
 
-    // Guards against halves of the fleet that stay apart after the network is whole again.
+    // Guards against failure domains that stay partitioned after the network has recovered.
     @Test
-    fun `failure domains that were separated find each other again without the platform`() {
+    fun `failure domains reconnect after a partition without the platform`() {
         val nodes = fleet.startAll(count = 8)
         fleet.platform.isDown = true
-        fleet.isCut = { from, to -> from != to }
+        fleet.isPartitioned = { from, to -> from != to }
         fleet.run(seconds = 600)
         expectThat(nodes).all { get { membership.livePeers() }.hasSize(3) }
 
-        fleet.isCut = { _, _ -> false }
+        fleet.isPartitioned = { _, _ -> false }
         fleet.run(seconds = 15)
 
         expectThat(nodes).all { get { membership.livePeers() }.hasSize(7) }
     }
 
-    // Guards against new work that is sent to a process which is about to exit.
+    // Guards against new work that is sent to a process that is about to exit.
     @Test
-    fun `a draining process takes no work for any peer within 2 seconds and stays excluded while suspected`() {
+    fun `within 2 seconds no peer sends work to a draining process and it stays excluded while suspected`() {
         val nodes = fleet.startAll(count = 8)
         val draining = nodes[1]
 
         fleet.deliver(draining, Signal.DrainAdvanced(DrainPhase.LEAVING))
         fleet.run(seconds = 2)
-        expectThat(nodes).all { get { takesWork(draining) }.isFalse() }
+        expectThat(nodes).all { get { acceptsWork(draining) }.isFalse() }
         expectThat(nodes).all { get { isLive(draining) }.isTrue() }
 
         fleet.kill(draining)
         fleet.runMillis(1_500)
-        expectThat(nodes - draining).all { get { takesWork(draining) }.isFalse() }
+        expectThat(nodes - draining).all { get { acceptsWork(draining) }.isFalse() }
     }
 
-    // Guards against homes that move because of a short hiccup.
+    // Guards against homes that move to other processes because of a short interruption.
     @Test
     fun `a suspected process keeps its work`() {
         val nodes = fleet.startAll(count = 8)
@@ -179,12 +179,12 @@
 
         val condition = nodes[0].membership.peers[suspected.identity.peerEndpoint]?.condition
         expectThat(condition).isEqualTo(PeerCondition.SUSPECTED)
-        expectThat(nodes[0].takesWork(suspected)).isTrue()
+        expectThat(nodes[0].acceptsWork(suspected)).isTrue()
     }
 
-    // Guards against work for leaving hosts, and against every process reading the list.
+    // Guards against work that is sent to leaving hosts, and against every process reading the host list.
     @Test
-    fun `two watchers for each failure domain tell the others which hosts are leaving`() {
+    fun `two watchers of each failure domain report leaving hosts to the others`() {
         val nodes = fleet.startAll(count = 12)
         val watchers = listOf("yard", "dublin").flatMap { Watchers.of(nodes[0].state, FailureDomainName(it)) }
         val leavingProxy = nodes.first { it.identity !in watchers }
@@ -199,10 +199,10 @@
         fleet.run(seconds = 11)
 
         expectThat(nodes).all { get { signals }.contains(Signal.LeavingServersListed(setOf(server))) }
-        expectThat(nodes).all { get { takesWork(leavingProxy) }.isFalse() }
-        expectThat(fleet.platform.users { it is PlatformCall.ListHosts }).containsExactlyInAnyOrder(watchers)
+        expectThat(nodes).all { get { acceptsWork(leavingProxy) }.isFalse() }
+        expectThat(fleet.platform.callingNodes { it is PlatformCall.ListHosts }).containsExactlyInAnyOrder(watchers)
     }
 
-    private fun TestNode.takesWork(other: TestNode): Boolean =
-        other.identity in membership.takingWork(FailureDomainName(other.domain))
+    private fun TestNode.acceptsWork(other: TestNode): Boolean =
+        other.identity in membership.nodesAcceptingWork(FailureDomainName(other.domain))
 }
--- a/core/src/test/kotlin/dev/hibiscusreach/core/membership/TestFleet.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/membership/TestFleet.kt
@@ -20,20 +20,20 @@
 import java.util.PriorityQueue
 import kotlin.random.Random
 
-/** Processes with the membership and configuration parts, joined by a queue of simulated time. */
+/** Discrete-event simulation of processes with the membership and configuration parts. */
 internal class TestFleet(seed: Int = 1) {
     val platform = FakePlatform()
     val nodes = mutableMapOf<Endpoint, TestNode>()
     var now = 0L
         private set
 
-    /** Whether a message or platform call between two failure domains, or to "platform", is cut. */
-    var isCut: (from: String, to: String) -> Boolean = { _, _ -> false }
+    /** Whether the network drops messages between two failure domains, or calls to "platform". */
+    var isPartitioned: (from: String, to: String) -> Boolean = { _, _ -> false }
     private val random = Random(seed)
     private val queue = PriorityQueue(compareBy<Scheduled> { it.at }.thenBy { it.order })
     private var order = 0L
 
-    /** Starts process [number] of [domain]; a number that was used before is a restart at the same endpoint. */
+    /** Starts process [number] in [domain]; a number that was used before restarts the process at its endpoint. */
     fun start(
         number: Int,
         domain: String = "yard",
@@ -47,13 +47,14 @@
         return node
     }
 
+    /** Starts [count] processes, assigned to [domains] in turn, and lets them connect for 5 seconds. */
     fun startAll(count: Int, domains: List<String> = listOf("yard", "dublin")): List<TestNode> =
         (1..count).map { start(it, domains[it % domains.size]) }.also { run(seconds = 5) }
 
-    /** Ends a process without notice; messages to it fail at once. */
+    /** Stops a process abruptly; messages to it fail at once. */
     fun kill(node: TestNode) = nodes.remove(node.identity.peerEndpoint)
 
-    /** Delays everything that happens to [node]. */
+    /** Pauses [node]: its events are delayed until the pause ends. */
     fun pause(node: TestNode, millis: Int) {
         node.pausedUntil = now + millis
     }
@@ -103,22 +104,22 @@
         node.sent += effect
         when {
             receiver?.identity != effect.to -> schedule(1) { deliver(node, Event.PeerUnreachable(effect.to)) }
-            isCut(node.domain, receiver.domain) -> Unit
+            isPartitioned(node.domain, receiver.domain) -> Unit
             else -> schedule(1) { deliver(receiver, Event.PeerMessageReceived(node.identity, effect.message)) }
         }
     }
 
     private fun contact(node: TestNode, endpoint: Endpoint) {
         val peer = nodes[endpoint] ?: return
-        if (peer !== node && !isCut(node.domain, peer.domain)) {
+        if (peer !== node && !isPartitioned(node.domain, peer.domain)) {
             schedule(1) { deliver(node, Event.PeerIntroduced(peer.membership.selfUpdate())) }
         }
     }
 
     private fun call(node: TestNode, effect: Effect.CallPlatform, waitedMillis: Long = 0) {
         val request = effect.request
-        val isReachable = !isCut(node.domain, "platform")
-        if (waitedMillis == 0L) platform.calls += PlatformUse(node.identity, request)
+        val isReachable = !isPartitioned(node.domain, "platform")
+        if (waitedMillis == 0L) platform.calls += RecordedCall(node.identity, request)
         val answer = if (isReachable) platform.answer(request) else PlatformAnswer.Failed("no route")
         val hasWaited = request is PlatformCall.Watch && waitedMillis >= request.waitMillis
         when {
