--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationPart.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationPart.kt
@@ -4,13 +4,13 @@
 import dev.hibiscusreach.core.event.PartName
 import dev.hibiscusreach.core.event.Signal
 import dev.hibiscusreach.core.event.TimerKey
-import dev.hibiscusreach.core.reducer.Part
 import dev.hibiscusreach.core.reducer.ProxyState
+import dev.hibiscusreach.core.reducer.ReducerPart
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
 
 /** Keeps the configuration in force and spreads it. */
-internal class ConfigurationPart : Part {
+internal class ConfigurationPart : ReducerPart {
     override fun handle(state: ProxyState, event: Event, context: StepContext): Step =
         when (event) {
             is Event.Started -> StorePause(context).beforeFirstRead(state)
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/Pull.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/Pull.kt
@@ -3,7 +3,7 @@
 import dev.hibiscusreach.core.model.Configuration
 import dev.hibiscusreach.core.model.Millis
 import dev.hibiscusreach.core.model.NodeIdentity
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 import kotlinx.collections.immutable.PersistentMap
 import kotlinx.collections.immutable.persistentMapOf
 
@@ -18,6 +18,6 @@
 ) {
     internal companion object {
         /** Time for one page over the link between regions, which takes up to 400 ms for a full frame. */
-        val TIMEOUT: Millis = 1.inSeconds
+        val TIMEOUT: Millis = 1.seconds
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/StoreWatch.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/StoreWatch.kt
@@ -6,7 +6,7 @@
 import dev.hibiscusreach.core.event.PlatformCall
 import dev.hibiscusreach.core.event.PlatformCallNumber
 import dev.hibiscusreach.core.membership.Watchers
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 import dev.hibiscusreach.core.reducer.ProxyState
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
@@ -121,6 +121,6 @@
     private fun ProxyState.idle(): ProxyState = withStore { copy(phase = StorePhase.Idle()) }
 
     private companion object {
-        val SHORTEST_WATCH = 1.inSeconds
+        val SHORTEST_WATCH = 1.seconds
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/event/Event.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/event/Event.kt
@@ -166,10 +166,10 @@
     data class PrimaryChanged(val database: DatabaseName, val term: Term, val primary: ServerName?) : Signal
 
     /** The health or positions of a database's servers changed in a way that may let a waiting read go on. */
-    data class GroupObserved(val database: DatabaseName) : Signal
+    data class GroupStatusChanged(val database: DatabaseName) : Signal
 
     /** Asks the groups part for an answer once a majority holds [position] in its term. */
-    data class DurabilityWanted(
+    data class DurabilityRequested(
         val attempt: AttemptNumber,
         val database: DatabaseName,
         val position: Position,
@@ -183,7 +183,7 @@
     data class DurabilityNotReached(val attempt: AttemptNumber) : Signal
 
     /** Asks the groups part for a check that no higher term exists, sent after [since]. */
-    data class LeadershipWanted(
+    data class LeadershipCheckRequested(
         val attempt: AttemptNumber,
         val database: DatabaseName,
         val since: MonotonicTime,
@@ -197,15 +197,15 @@
     data class LeadershipNotConfirmed(val attempt: AttemptNumber) : Signal
 
     /** Asks the pools part for a connection to [server] on behalf of [caller]. */
-    data class ConnectionWanted(
+    data class ConnectionRequested(
         val attempt: AttemptNumber,
         val server: ServerName,
         val caller: CallerName,
         val waitUntil: MonotonicTime,
     ) : Signal
 
-    /** Takes a [ConnectionWanted] back. */
-    data class ConnectionNotWanted(val attempt: AttemptNumber) : Signal
+    /** Takes a [ConnectionRequested] back. */
+    data class ConnectionRequestCancelled(val attempt: AttemptNumber) : Signal
 
     /** [connection] belongs to [attempt] until it is returned. */
     data class ConnectionGranted(val attempt: AttemptNumber, val connection: ConnectionNumber) : Signal
@@ -220,7 +220,7 @@
     data class ConnectionLost(val connection: ConnectionNumber, val failure: ConnectionFailure) : Signal
 
     /** The graceful shutdown reached a new phase. */
-    data class DrainAdvanced(val phase: DrainPhase) : Signal
+    data class DrainPhaseChanged(val phase: DrainPhase) : Signal
 }
 
 /** The state in which a connection is returned. */
--- a/core/src/main/kotlin/dev/hibiscusreach/core/event/PeerMessage.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/event/PeerMessage.kt
@@ -158,12 +158,12 @@
     /** Asks for the loans that the receiver has granted as the permit home of [caller]. */
     @Serializable
     @SerialName("permitBookRequested")
-    data class PermitBookRequested(val caller: CallerName) : PeerMessage
+    data class PermitLoansRequested(val caller: CallerName) : PeerMessage
 
-    /** Answers [PermitBookRequested]. The new permit home grants nothing of its own for [quietMillis]. */
+    /** Answers [PermitLoansRequested]. The new permit home grants nothing of its own for [quietMillis]. */
     @Serializable
     @SerialName("permitBookDelivered")
-    data class PermitBookDelivered(
+    data class PermitLoansDelivered(
         val caller: CallerName,
         val loans: List<PermitLoan>,
         val quietMillis: Long,
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/ControlCalls.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/ControlCalls.kt
@@ -46,7 +46,7 @@
         it.withHealth(server) { known -> known.failed(failure, attemptedAt, settings.probePeriod) }
     }
     if (before.isReachable(server, now) && group(database)?.isReachable(server, now) == false) {
-        signal(Signal.GroupObserved(database))
+        signal(Signal.GroupStatusChanged(database))
     }
     watchPrimary(database)
 }
@@ -55,5 +55,5 @@
     update(call.database) {
         it.withHealth(call.server) { known -> known.copy(followedTerm = command.term) }
     }
-    signal(Signal.GroupObserved(call.database))
+    signal(Signal.GroupStatusChanged(call.database))
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Durability.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Durability.kt
@@ -14,7 +14,7 @@
 private val CONFIRM_WAIT = 500.milliseconds
 
 /** Answers as soon as a majority holds the position. */
-internal fun GroupsTurn.wantDurability(wanted: Signal.DurabilityWanted) {
+internal fun GroupsTurn.wantDurability(wanted: Signal.DurabilityRequested) {
     val known = group(wanted.database)
     when {
         known == null || wanted.waitUntil <= now || known.cannotSettle(wanted.position) ->
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/GroupsPart.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/GroupsPart.kt
@@ -7,13 +7,13 @@
 import dev.hibiscusreach.core.event.Signal
 import dev.hibiscusreach.core.event.TimerKey
 import dev.hibiscusreach.core.model.DatabaseName
-import dev.hibiscusreach.core.reducer.Part
 import dev.hibiscusreach.core.reducer.ProxyState
+import dev.hibiscusreach.core.reducer.ReducerPart
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
 
 /** Knows the health, terms and positions of the database groups and replaces failed primaries. */
-internal class GroupsPart : Part {
+internal class GroupsPart : ReducerPart {
     override fun handle(state: ProxyState, event: Event, context: StepContext): Step =
         when (event) {
             is Event.Started -> turn(state, context) { started() }
@@ -75,8 +75,8 @@
         is Signal.PauseDetected -> resume()
         is Signal.ServerObserved -> observeSession(signal)
         is Signal.ServerFailed -> serverFailed(signal.server, signal.failure, now)
-        is Signal.DurabilityWanted -> wantDurability(signal)
-        is Signal.LeadershipWanted -> wantLeadership(signal)
+        is Signal.DurabilityRequested -> wantDurability(signal)
+        is Signal.LeadershipCheckRequested -> wantLeadership(signal)
         else -> Unit
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Homes.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Homes.kt
@@ -8,12 +8,12 @@
 import dev.hibiscusreach.core.model.DatabaseName
 import dev.hibiscusreach.core.model.NodeIdentity
 import dev.hibiscusreach.core.model.ServerName
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 import dev.hibiscusreach.core.reducer.DatabaseHomes
 import kotlinx.collections.immutable.PersistentMap
 
 /** Time in which requests in flight come to their end after the home has moved. */
-private val RETIREMENT = 5.inSeconds
+private val RETIREMENT = 5.seconds
 
 /** Starts and ends the monitoring of groups after the members or the configuration changed. */
 internal fun GroupsTurn.selectHomes() {
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Lag.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Lag.kt
@@ -2,13 +2,13 @@
 
 import dev.hibiscusreach.core.model.MonotonicTime
 import dev.hibiscusreach.core.model.ServerName
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 
 /** A replica whose data is older counts as far behind. */
-private val FAR_BEHIND = 5.inSeconds
+private val FAR_BEHIND = 5.seconds
 
 /** A replica that was far behind has caught up when its data is not older. */
-private val CAUGHT_UP = 1.inSeconds
+private val CAUGHT_UP = 1.seconds
 
 /** Notes which replicas are far behind, and starts the slow start of those that have caught up. */
 internal fun GroupState.withLagJudged(now: MonotonicTime): GroupState {
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Leadership.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Leadership.kt
@@ -6,7 +6,7 @@
 import dev.hibiscusreach.core.model.DatabaseName
 
 /** Answers as soon as a majority answered in the current term to something sent at or after the wanted time. */
-internal fun GroupsTurn.wantLeadership(wanted: Signal.LeadershipWanted) {
+internal fun GroupsTurn.wantLeadership(wanted: Signal.LeadershipCheckRequested) {
     val known = group(wanted.database)
     val verifiedAt = known?.leadershipVerifiedAt()
     when {
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Observation.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Observation.kt
@@ -20,7 +20,7 @@
     completeWaits(database)
     val after = group(database) ?: return
     if (after.routingChanged(before, status.server, now)) {
-        signal(Signal.GroupObserved(database))
+        signal(Signal.GroupStatusChanged(database))
     }
 }
 
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Repair.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Repair.kt
@@ -4,13 +4,13 @@
 import dev.hibiscusreach.core.model.DatabaseName
 import dev.hibiscusreach.core.model.MonotonicTime
 import dev.hibiscusreach.core.model.ServerName
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 
 /** Pause between two Follow commands to the same server. */
-private val FOLLOW_PAUSE = 1.inSeconds
+private val FOLLOW_PAUSE = 1.seconds
 
 /** A replica that is behind and has not moved for this time may have forgotten whom it follows. */
-private val STUCK_AFTER = 2.inSeconds
+private val STUCK_AFTER = 2.seconds
 
 /** Makes [server] follow the primary of the current term if it is not known to do so. */
 internal fun GroupsTurn.repair(database: DatabaseName, server: ServerName) {
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/ServerViews.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/ServerViews.kt
@@ -4,11 +4,11 @@
 import dev.hibiscusreach.core.model.MonotonicTime
 import dev.hibiscusreach.core.model.Position
 import dev.hibiscusreach.core.model.ServerName
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 import kotlin.math.roundToLong
 
 /** A returning server's caches are cold; it reaches its full share of reads after this time. */
-private val WARM_UP = 10.inSeconds
+private val WARM_UP = 10.seconds
 private const val MINIMUM_WARM_UP_PERCENT = 10L
 private const val FULL_PERCENT = 100L
 
--- a/core/src/main/kotlin/dev/hibiscusreach/core/membership/LeavingHosts.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/membership/LeavingHosts.kt
@@ -5,7 +5,7 @@
 import dev.hibiscusreach.core.model.MonotonicTime
 import dev.hibiscusreach.core.model.NodeIdentity
 import dev.hibiscusreach.core.model.ServerName
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 import kotlinx.collections.immutable.PersistentMap
 import kotlinx.collections.immutable.persistentMapOf
 
@@ -37,6 +37,6 @@
 
     private companion object {
         // Three periods of the host list: a single lost report does not put a leaving host back to work.
-        val REPORT_VALIDITY: Millis = 30.inSeconds
+        val REPORT_VALIDITY: Millis = 30.seconds
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/membership/LostPeers.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/membership/LostPeers.kt
@@ -2,7 +2,7 @@
 
 import dev.hibiscusreach.core.event.PeerCondition
 import dev.hibiscusreach.core.model.Millis
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 import dev.hibiscusreach.core.reducer.ProxyState
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
@@ -38,6 +38,6 @@
         const val RECONNECTION_PERIODS = 4L
 
         /** Longer than the hour for which regions lose their connection occasionally. */
-        val RETENTION: Millis = (4 * 60 * 60).inSeconds
+        val RETENTION: Millis = (4 * 60 * 60).seconds
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/membership/MembershipPart.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/membership/MembershipPart.kt
@@ -7,13 +7,13 @@
 import dev.hibiscusreach.core.event.Signal
 import dev.hibiscusreach.core.event.TimerKey
 import dev.hibiscusreach.core.model.NodeIdentity
-import dev.hibiscusreach.core.reducer.Part
 import dev.hibiscusreach.core.reducer.ProxyState
+import dev.hibiscusreach.core.reducer.ReducerPart
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
 
 /** Knows which proxies are alive, draining or gone. */
-internal class MembershipPart : Part {
+internal class MembershipPart : ReducerPart {
     override fun handle(state: ProxyState, event: Event, context: StepContext): Step =
         MembershipStep(context).handle(state, event)
 }
@@ -34,7 +34,7 @@
             is Event.PeerIntroduced -> exchange.introduced(state, event.update)
             is Event.PlatformAnswered -> platformAnswered(state, event)
             is Signal.PauseDetected -> PauseDetection.resume(state, context)
-            is Signal.DrainAdvanced -> Announcement(context).drainAdvanced(state, event.phase)
+            is Signal.DrainPhaseChanged -> Announcement(context).drainAdvanced(state, event.phase)
             else -> Step(state)
         }
 
--- a/core/src/main/kotlin/dev/hibiscusreach/core/model/Time.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/model/Time.kt
@@ -40,6 +40,6 @@
 val Int.milliseconds: Millis get() = Millis(toLong())
 
 /** A duration of this many seconds. */
-val Int.inSeconds: Millis get() = Millis(this * MILLIS_PER_SECOND)
+val Int.seconds: Millis get() = Millis(this * MILLIS_PER_SECOND)
 
 private const val MILLIS_PER_SECOND = 1_000L
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/ConnectionQueue.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/ConnectionQueue.kt
@@ -11,7 +11,7 @@
 /** The attempts that wait for connections. */
 internal object ConnectionQueue {
     /** Queues an attempt; refuses early if this process has no right to the connection or the queue is full. */
-    fun want(state: ProxyState, wanted: Signal.ConnectionWanted, now: MonotonicTime): Step {
+    fun want(state: ProxyState, wanted: Signal.ConnectionRequested, now: MonotonicTime): Step {
         val database = state.configuration.index.groupOf(wanted.server)?.name
         val role = database?.let { state.pools.roles[it] }
         if (role == null || role is ShareRole.Releasing) {
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/PermitBooks.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/PermitBooks.kt
@@ -17,7 +17,7 @@
         val book = permits.books[caller]
         val quietUntil = book?.quietUntil ?: quietAfterLoss(state, now)
         val delivery =
-            PeerMessage.PermitBookDelivered(
+            PeerMessage.PermitLoansDelivered(
                 caller = caller,
                 loans = book?.openLoans(now).orEmpty(),
                 quietMillis = maxOf(0, (quietUntil - now).value),
@@ -28,7 +28,7 @@
     }
 
     /** Goes on with the loans of an earlier home. */
-    fun bookDelivered(state: ProxyState, message: PeerMessage.PermitBookDelivered, now: MonotonicTime): Step {
+    fun bookDelivered(state: ProxyState, message: PeerMessage.PermitLoansDelivered, now: MonotonicTime): Step {
         val book = state.pools.permits.books[message.caller] ?: return Step(state)
         val adopted = book.adopt(message.loans, Millis(message.quietMillis), now)
         return Step(withBook(state, message.caller, adopted))
@@ -48,7 +48,7 @@
         return if (predecessor == null) {
             opened
         } else {
-            opened.withEffects(Effect.SendPeerMessage(predecessor, PeerMessage.PermitBookRequested(caller)))
+            opened.withEffects(Effect.SendPeerMessage(predecessor, PeerMessage.PermitLoansRequested(caller)))
         }
     }
 
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/PoolsPart.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/PoolsPart.kt
@@ -8,13 +8,13 @@
 import dev.hibiscusreach.core.event.TimerKey
 import dev.hibiscusreach.core.model.MonotonicTime
 import dev.hibiscusreach.core.model.NodeIdentity
-import dev.hibiscusreach.core.reducer.Part
 import dev.hibiscusreach.core.reducer.ProxyState
+import dev.hibiscusreach.core.reducer.ReducerPart
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
 
 /** Owns the session connections to backend servers and the permits of callers. */
-internal class PoolsPart : Part {
+internal class PoolsPart : ReducerPart {
     override fun handle(state: ProxyState, event: Event, context: StepContext): Step =
         when (event) {
             is Event.Started -> start(state, context.now)
@@ -41,11 +41,11 @@
 
     private fun handleSignal(state: ProxyState, signal: Signal, now: MonotonicTime): Step =
         when (signal) {
-            is Signal.ConnectionWanted -> ConnectionQueue.want(state, signal, now)
-            is Signal.ConnectionNotWanted -> ConnectionQueue.withdraw(state, signal.attempt)
+            is Signal.ConnectionRequested -> ConnectionQueue.want(state, signal, now)
+            is Signal.ConnectionRequestCancelled -> ConnectionQueue.withdraw(state, signal.attempt)
             is Signal.ConnectionReturned ->
                 ConnectionDispatch.returned(state, signal.connection, signal.condition, now)
-            is Signal.MembershipChanged, is Signal.ConfigurationChanged, is Signal.DrainAdvanced ->
+            is Signal.MembershipChanged, is Signal.ConfigurationChanged, is Signal.DrainPhaseChanged ->
                 ShareRoles.evaluate(state, now)
             is Signal.PeerGone -> noteLoss(state, signal.node, now)
             is Signal.PauseDetected -> recoverFromPause(state, now)
@@ -61,8 +61,8 @@
                 PermitBorrowing
                     .granted(state, message, now)
                     .then { DomainBorrowing.granted(it, from, message, now) }
-            is PeerMessage.PermitBookRequested -> PermitBooks.bookRequested(state, from, message.caller, now)
-            is PeerMessage.PermitBookDelivered -> PermitBooks.bookDelivered(state, message, now)
+            is PeerMessage.PermitLoansRequested -> PermitBooks.bookRequested(state, from, message.caller, now)
+            is PeerMessage.PermitLoansDelivered -> PermitBooks.bookDelivered(state, message, now)
             else -> Step(state)
         }
 
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/ShareAllowances.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/ShareAllowances.kt
@@ -19,7 +19,7 @@
         val domain = state.settings.failureDomain
         val allowances =
             group?.servers.orEmpty().associate { server ->
-                val share = DatabaseHomes.share(group!!, server, domain)
+                val share = DatabaseHomes.connectionShare(group!!, server, domain)
                 server.name to allowance(state, role, server.name, share)
             }
         val pools =
--- a/core/src/main/kotlin/dev/hibiscusreach/core/reducer/DatabaseHomes.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/reducer/DatabaseHomes.kt
@@ -38,7 +38,7 @@
     }
 
     /** The number of connections to [server] that belong to the home in [domain]. */
-    fun share(group: DatabaseGroup, server: BackendServer, domain: FailureDomainName): Int {
+    fun connectionShare(group: DatabaseGroup, server: BackendServer, domain: FailureDomainName): Int {
         val otherDomains = domains(group).count { it != server.failureDomain }
         val reserve = reserve(server, otherDomains)
         return if (domain == server.failureDomain) server.connectionLimit - reserve * otherDomains else reserve
--- a/core/src/main/kotlin/dev/hibiscusreach/core/reducer/ProxyReducer.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/reducer/ProxyReducer.kt
@@ -12,7 +12,7 @@
 
 /** The pure reducer of a proxy: all decisions are made here, and nothing is done but returning state and effects. */
 class ProxyReducer(
-    private val parts: List<Part> =
+    private val parts: List<ReducerPart> =
         listOf(MembershipPart(), ConfigurationPart(), GroupsPart(), PoolsPart(), RequestsPart()),
 ) {
     /** Lets every part handle the event, then the signals that follow from it, until none is left. */
--- a/core/src/main/kotlin/dev/hibiscusreach/core/reducer/Part.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/reducer/ReducerPart.kt
@@ -34,7 +34,7 @@
 }
 
 /** One part of the reducer. It reads the whole state and changes only its own slice. */
-fun interface Part {
+fun interface ReducerPart {
     /** Handles [event]; returns the state unchanged for events that do not concern the part. */
     fun handle(state: ProxyState, event: Event, context: StepContext): Step
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/reducer/RendezvousHash.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/reducer/RendezvousHash.kt
@@ -6,9 +6,9 @@
 object RendezvousHash {
     private const val FNV_OFFSET = -3750763034362895579L
     private const val FNV_PRIME = 1099511628211L
-    private const val MIX_FIRST = -49064778989728563L
-    private const val MIX_SECOND = -4265267296055464877L
-    private const val MIX_SHIFT = 33
+    private const val FINALIZER_MULTIPLIER_1 = -49064778989728563L
+    private const val FINALIZER_MULTIPLIER_2 = -4265267296055464877L
+    private const val FINALIZER_SHIFT = 33
 
     /** [candidates] in the order in which they should serve [key]. */
     fun <T> rank(key: String, candidates: Collection<T>, endpoint: (T) -> Endpoint): List<T> =
@@ -18,15 +18,15 @@
     fun <T> first(key: String, candidates: Collection<T>, endpoint: (T) -> Endpoint): T? =
         candidates.maxWithOrNull(compareBy<T> { weight(key, endpoint(it)) }.thenByDescending { endpoint(it) })
 
-    private fun weight(key: String, endpoint: Endpoint): Long = mix(hash("$key|$endpoint"))
+    private fun weight(key: String, endpoint: Endpoint): Long = finalize64(hash("$key|$endpoint"))
 
     private fun hash(text: String): Long =
         text.fold(FNV_OFFSET) { hash, character -> (hash xor character.code.toLong()) * FNV_PRIME }
 
     // The multiplicative hash alone leaves similar addresses in similar order; the finalizer spreads them.
-    private fun mix(hash: Long): Long {
-        val first = (hash xor (hash ushr MIX_SHIFT)) * MIX_FIRST
-        val second = (first xor (first ushr MIX_SHIFT)) * MIX_SECOND
-        return second xor (second ushr MIX_SHIFT)
+    private fun finalize64(hash: Long): Long {
+        val first = (hash xor (hash ushr FINALIZER_SHIFT)) * FINALIZER_MULTIPLIER_1
+        val second = (first xor (first ushr FINALIZER_SHIFT)) * FINALIZER_MULTIPLIER_2
+        return second xor (second ushr FINALIZER_SHIFT)
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/Connecting.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/Connecting.kt
@@ -20,12 +20,13 @@
 internal fun StepBuilder.connect(request: PendingRequest, server: ServerName) {
     val attempt = nextAttempt()
     val waitUntil = minOf(request.deadline, now + settings.pool.queueWait)
-    signal(Signal.ConnectionWanted(attempt, server, request.request.caller, waitUntil))
+    signal(Signal.ConnectionRequested(attempt, server, request.request.caller, waitUntil))
     enter(request, RequestPhase.Connecting(attempt, server), waitUntil + POOL_ANSWER_MARGIN)
 }
 
 /** Cancels the request for a connection. */
-internal fun StepBuilder.withdraw(phase: RequestPhase.Connecting) = signal(Signal.ConnectionNotWanted(phase.attempt))
+internal fun StepBuilder.withdraw(phase: RequestPhase.Connecting) =
+    signal(Signal.ConnectionRequestCancelled(phase.attempt))
 
 /** Uses a granted connection, or returns it if nothing waits for it any more. */
 internal fun StepBuilder.granted(signal: Signal.ConnectionGranted) {
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/Draining.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/Draining.kt
@@ -50,6 +50,6 @@
 
 private fun StepBuilder.advance(phase: DrainPhase) {
     slice = slice.copy(drainPhase = phase)
-    signal(Signal.DrainAdvanced(phase))
+    signal(Signal.DrainPhaseChanged(phase))
     emit(Effect.Log(LogLevel.INFO, "graceful shutdown advanced", progress(phase)))
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/PeerReachability.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/PeerReachability.kt
@@ -3,11 +3,11 @@
 import dev.hibiscusreach.core.model.Millis
 import dev.hibiscusreach.core.model.MonotonicTime
 import dev.hibiscusreach.core.model.NodeIdentity
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 import kotlinx.collections.immutable.toPersistentMap
 
 /** Requests are not forwarded to a lost peer for this long. Membership takes 2 s or more to report it gone. */
-private val UNREACHABLE_PEER_PAUSE: Millis = 1.inSeconds
+private val UNREACHABLE_PEER_PAUSE: Millis = 1.seconds
 
 /** Whether [request] can be forwarded to [peer] with a good chance of an answer. */
 internal fun StepBuilder.canForward(request: PendingRequest, peer: NodeIdentity): Boolean =
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/RequestsPart.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/RequestsPart.kt
@@ -6,13 +6,13 @@
 import dev.hibiscusreach.core.event.PeerMessage
 import dev.hibiscusreach.core.event.Signal
 import dev.hibiscusreach.core.event.TimerKey
-import dev.hibiscusreach.core.reducer.Part
 import dev.hibiscusreach.core.reducer.ProxyState
+import dev.hibiscusreach.core.reducer.ReducerPart
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
 
 /** Carries requests from arrival to answer. */
-internal class RequestsPart(private val views: RequestViews = SliceViews) : Part {
+internal class RequestsPart(private val views: RequestViews = SliceViews) : ReducerPart {
     override fun handle(state: ProxyState, event: Event, context: StepContext): Step {
         val builder = StepBuilder(state, context, views)
         when (event) {
@@ -58,11 +58,11 @@
         is Signal.DurabilityNotReached -> notVerified(signal.attempt)
         is Signal.LeadershipConfirmed -> leadershipConfirmed(signal.attempt)
         is Signal.LeadershipNotConfirmed -> notVerified(signal.attempt)
-        is Signal.GroupObserved -> reconsiderWaiting(signal.database)
+        is Signal.GroupStatusChanged -> reconsiderWaiting(signal.database)
         is Signal.PrimaryChanged -> primaryChanged(signal)
         is Signal.PeerGone -> peerLost(signal.node)
         // The other parts handle the signal before this one, so that their effects come before the exit.
-        is Signal.DrainAdvanced -> if (signal.phase == DrainPhase.FINISHED) emit(Effect.Exit)
+        is Signal.DrainPhaseChanged -> if (signal.phase == DrainPhase.FINISHED) emit(Effect.Exit)
         else -> Unit
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/Verification.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/Verification.kt
@@ -19,12 +19,14 @@
 
         Outstanding.DURABILITY -> {
             enter(request, phase, due)
-            signal(Signal.DurabilityWanted(phase.attempt, request.database, phase.answer.provingPosition(), due))
+            signal(Signal.DurabilityRequested(phase.attempt, request.database, phase.answer.provingPosition(), due))
         }
 
         Outstanding.LEADERSHIP -> {
             enter(request, phase, due)
-            signal(Signal.LeadershipWanted(phase.attempt, request.database, leadershipFloor(request, phase), due))
+            signal(
+                Signal.LeadershipCheckRequested(phase.attempt, request.database, leadershipFloor(request, phase), due),
+            )
         }
 
         Outstanding.TOO_OLD -> tooOld(store(request.copy(phase = RequestPhase.Arrived)), phase)
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/Waiting.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/Waiting.kt
@@ -3,14 +3,14 @@
 import dev.hibiscusreach.core.model.DatabaseName
 import dev.hibiscusreach.core.model.ErrorKind
 import dev.hibiscusreach.core.model.Millis
-import dev.hibiscusreach.core.model.inSeconds
 import dev.hibiscusreach.core.model.milliseconds
+import dev.hibiscusreach.core.model.seconds
 
 /**
  * Longest wait for a new primary. By the default settings a failover takes about 3 s: detection 1 s, sightings 0.3 s,
  * the stagger of two proposers 1.4 s and fencing 0.2 s. Longer waits accumulate requests during an outage.
  */
-private val PRIMARY_WAIT: Millis = 5.inSeconds
+private val PRIMARY_WAIT: Millis = 5.seconds
 
 /** Pause before the same primary is tried again; the period at which its health is probed. */
 private val SAME_PRIMARY_PAUSE: Millis = 250.milliseconds
--- a/core/src/test/kotlin/dev/hibiscusreach/core/group/GroupSimulation.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/group/GroupSimulation.kt
@@ -28,10 +28,10 @@
 import dev.hibiscusreach.core.model.RegionName
 import dev.hibiscusreach.core.model.ServerName
 import dev.hibiscusreach.core.model.Term
-import dev.hibiscusreach.core.reducer.Part
 import dev.hibiscusreach.core.reducer.ProxyReducer
 import dev.hibiscusreach.core.reducer.ProxySettings
 import dev.hibiscusreach.core.reducer.ProxyState
+import dev.hibiscusreach.core.reducer.ReducerPart
 import dev.hibiscusreach.core.reducer.Step
 import java.util.PriorityQueue
 import kotlin.random.Random
@@ -139,7 +139,9 @@
         val commands = mutableListOf<ControlCommand>()
         var frozen = false
             private set
-        private val recorder = Part { state, event, _ -> Step(state).also { if (event is Signal) signals += event } }
+        private val recorder = ReducerPart { state, event, _ ->
+            Step(state).also { if (event is Signal) signals += event }
+        }
         private val reducer = ProxyReducer(listOf(GroupsPart(), recorder))
         private var state = ProxyState.initial(ProxySettings(identity, domain))
         private val timers = mutableMapOf<TimerKey, Long>()
@@ -189,13 +191,13 @@
 
         fun awaitDurability(position: Position, wait: Long = 1_000): AttemptNumber {
             val attempt = AttemptNumber(PartName.REQUESTS, ++attempts)
-            receive(Signal.DurabilityWanted(attempt, database, position, MonotonicTime(now + wait)))
+            receive(Signal.DurabilityRequested(attempt, database, position, MonotonicTime(now + wait)))
             return attempt
         }
 
         fun awaitLeadership(wait: Long = 1_000): AttemptNumber {
             val attempt = AttemptNumber(PartName.REQUESTS, ++attempts)
-            receive(Signal.LeadershipWanted(attempt, database, MonotonicTime(now), MonotonicTime(now + wait)))
+            receive(Signal.LeadershipCheckRequested(attempt, database, MonotonicTime(now), MonotonicTime(now + wait)))
             return attempt
         }
 
--- a/core/src/test/kotlin/dev/hibiscusreach/core/membership/MembershipPartTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/membership/MembershipPartTest.kt
@@ -158,7 +158,7 @@
         val nodes = fleet.startAll(count = 8)
         val draining = nodes[1]
 
-        fleet.deliver(draining, Signal.DrainAdvanced(DrainPhase.LEAVING))
+        fleet.deliver(draining, Signal.DrainPhaseChanged(DrainPhase.LEAVING))
         fleet.run(seconds = 2)
         expectThat(nodes).all { get { takesWork(draining) }.isFalse() }
         expectThat(nodes).all { get { isLive(draining) }.isTrue() }
--- a/core/src/test/kotlin/dev/hibiscusreach/core/membership/TestFleet.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/membership/TestFleet.kt
@@ -12,10 +12,10 @@
 import dev.hibiscusreach.core.model.FailureDomainName
 import dev.hibiscusreach.core.model.MonotonicTime
 import dev.hibiscusreach.core.model.NodeIdentity
-import dev.hibiscusreach.core.reducer.Part
 import dev.hibiscusreach.core.reducer.ProxyReducer
 import dev.hibiscusreach.core.reducer.ProxySettings
 import dev.hibiscusreach.core.reducer.ProxyState
+import dev.hibiscusreach.core.reducer.ReducerPart
 import dev.hibiscusreach.core.reducer.Step
 import java.util.PriorityQueue
 import kotlin.random.Random
@@ -144,7 +144,7 @@
 
 /** One process of a [TestFleet]. */
 internal class TestNode(settings: ProxySettings) {
-    private val recorder = Part { state, event, _ -> Step(state).also { if (event is Signal) signals += event } }
+    private val recorder = ReducerPart { state, event, _ -> Step(state).also { if (event is Signal) signals += event } }
     private val reducer = ProxyReducer(listOf(MembershipPart(), ConfigurationPart(), recorder))
     val identity = settings.self
     val domain = settings.failureDomain.value
--- a/core/src/test/kotlin/dev/hibiscusreach/core/request/DrainTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/request/DrainTest.kt
@@ -84,5 +84,5 @@
         harness.pass(millis = 1_000)
     }
 
-    private fun phases() = harness.signalled<Signal.DrainAdvanced>().map { it.phase }
+    private fun phases() = harness.signalled<Signal.DrainPhaseChanged>().map { it.phase }
 }
--- a/core/src/test/kotlin/dev/hibiscusreach/core/request/ReadTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/request/ReadTest.kt
@@ -41,7 +41,7 @@
         expectThat(harness.commands).isEmpty()
         harness.pass(millis = 50)
 
-        expectThat(harness.signalled<Signal.ConnectionWanted>()).single().get { server }.isEqualTo(Fixture.PRIMARY)
+        expectThat(harness.signalled<Signal.ConnectionRequested>()).single().get { server }.isEqualTo(Fixture.PRIMARY)
         expectThat(harness.lastCommand).isA<SessionCommand.Execute>().get { minimumPosition }.isEqualTo(at(12))
     }
 
@@ -51,9 +51,9 @@
         harness.arrive(read(), seen = at(12))
         harness.views.applied[Fixture.REPLICA] = at(12)
         harness.views.ages[at(12)] = harness.views.ages.getValue(at(10))
-        harness.handle(Signal.GroupObserved(Fixture.JOBS))
+        harness.handle(Signal.GroupStatusChanged(Fixture.JOBS))
 
-        expectThat(harness.signalled<Signal.ConnectionWanted>()).single().get { server }.isEqualTo(Fixture.REPLICA)
+        expectThat(harness.signalled<Signal.ConnectionRequested>()).single().get { server }.isEqualTo(Fixture.REPLICA)
     }
 
     // Guards against data from a replaced, isolated primary in a read that asks for the newest data.
@@ -140,7 +140,7 @@
         harness.denied[Fixture.REPLICA] = ErrorKind.OVERLOADED
         harness.arrive(read())
 
-        expectThat(harness.signalled<Signal.ConnectionWanted>().map { it.server })
+        expectThat(harness.signalled<Signal.ConnectionRequested>().map { it.server })
             .containsExactly(Fixture.REPLICA, Fixture.PRIMARY)
     }
 }
--- a/core/src/test/kotlin/dev/hibiscusreach/core/request/RequestHarness.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/request/RequestHarness.kt
@@ -26,11 +26,11 @@
 import dev.hibiscusreach.core.model.ServerName
 import dev.hibiscusreach.core.model.SessionToken
 import dev.hibiscusreach.core.model.Term
-import dev.hibiscusreach.core.model.inSeconds
-import dev.hibiscusreach.core.reducer.Part
+import dev.hibiscusreach.core.model.seconds
 import dev.hibiscusreach.core.reducer.ProxyReducer
 import dev.hibiscusreach.core.reducer.ProxySettings
 import dev.hibiscusreach.core.reducer.ProxyState
+import dev.hibiscusreach.core.reducer.ReducerPart
 import dev.hibiscusreach.core.reducer.Step
 
 /** Drives the requests part with fakes for the other parts: a pool that grants or denies at once, and set views. */
@@ -46,9 +46,9 @@
     private var now = MonotonicTime(1_000_000)
     private var connections = 0L
     private val fakePools =
-        Part { state, event, _ ->
+        ReducerPart { state, event, _ ->
             if (event is Signal) signals += event
-            val isAnswered = event is Signal.ConnectionWanted && poolsAnswer
+            val isAnswered = event is Signal.ConnectionRequested && poolsAnswer
             if (isAnswered) Step(state, signals = listOf(reply(event))) else Step(state)
         }
     private val reducer = ProxyReducer(listOf(fakePools, RequestsPart(views)))
@@ -111,7 +111,7 @@
             caller = Fixture.TABLET,
             database = Fixture.JOBS,
             session = SessionToken(),
-            deadline = 10.inSeconds,
+            deadline = 10.seconds,
             body = body,
         )
 
@@ -131,12 +131,12 @@
     fun breakConnection() =
         handle(Signal.ConnectionLost(commands.last().connection, ConnectionFailure.BROKEN))
 
-    fun reachDurability() = handle(Signal.DurabilityReached(signalled<Signal.DurabilityWanted>().last().attempt))
+    fun reachDurability() = handle(Signal.DurabilityReached(signalled<Signal.DurabilityRequested>().last().attempt))
 
-    fun missDurability() = handle(Signal.DurabilityNotReached(signalled<Signal.DurabilityWanted>().last().attempt))
+    fun missDurability() = handle(Signal.DurabilityNotReached(signalled<Signal.DurabilityRequested>().last().attempt))
 
     fun confirmLeadership() =
-        handle(Signal.LeadershipConfirmed(signalled<Signal.LeadershipWanted>().last().attempt))
+        handle(Signal.LeadershipConfirmed(signalled<Signal.LeadershipCheckRequested>().last().attempt))
 
     /** Makes [server] the primary of [term]; null while the replacement goes on. */
     fun replacePrimary(server: ServerName?, term: Long) {
@@ -145,7 +145,7 @@
         handle(Signal.PrimaryChanged(Fixture.JOBS, views.term, server))
     }
 
-    fun reply(wanted: Signal.ConnectionWanted): Signal =
+    fun reply(wanted: Signal.ConnectionRequested): Signal =
         denied[wanted.server]?.let { Signal.ConnectionDenied(wanted.attempt, it) }
             ?: Signal.ConnectionGranted(wanted.attempt, ConnectionNumber(++connections)).also {
                 servers[it.connection] = wanted.server
--- a/core/src/test/kotlin/dev/hibiscusreach/core/request/WriteTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/request/WriteTest.kt
@@ -107,7 +107,7 @@
         val reached = status(Fixture.REPLICA, term = 2).copy(role = ServerRole.PRIMARY, applied = at(20, term = 2))
         harness.answer(SessionAnswer.Done(reached, Fixture.RESULTS, at(11), replayed = true))
 
-        expectThat(harness.signalled<Signal.DurabilityWanted>().last().position).isEqualTo(at(20, term = 2))
+        expectThat(harness.signalled<Signal.DurabilityRequested>().last().position).isEqualTo(at(20, term = 2))
         harness.reachDurability()
         expectThat(harness.completed.session.positionOf(Fixture.JOBS)).isEqualTo(at(11))
     }
@@ -256,7 +256,7 @@
         harness.pass(millis = 1_200)
 
         expectThat(harness.refusals).containsExactly(ErrorKind.DEADLINE_EXCEEDED, ErrorKind.OVERLOADED)
-        expectThat(harness.signalled<Signal.ConnectionNotWanted>()).hasSize(2)
+        expectThat(harness.signalled<Signal.ConnectionRequestCancelled>()).hasSize(2)
     }
 
     // Guards against a refused question about an outcome that reads as "the write did not run".
--- a/daemon/src/main/kotlin/dev/hibiscusreach/daemon/PlatformConnection.kt
+++ b/daemon/src/main/kotlin/dev/hibiscusreach/daemon/PlatformConnection.kt
@@ -3,7 +3,7 @@
 import dev.hibiscusreach.core.event.PlatformAnswer
 import dev.hibiscusreach.core.event.PlatformCall
 import dev.hibiscusreach.core.model.Endpoint
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 import dev.hibiscusreach.runtime.platform.HttpPlatformClient
 import io.netty.channel.MultiThreadIoEventLoopGroup
 import io.netty.channel.nio.NioIoHandler
@@ -35,7 +35,7 @@
     }
 
     private companion object {
-        val TIMEOUT = 5.inSeconds
+        val TIMEOUT = 5.seconds
         const val SHUTDOWN_MILLIS = 500L
     }
 }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/backend/SessionLimits.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/backend/SessionLimits.kt
@@ -1,13 +1,13 @@
 package dev.hibiscusreach.runtime.backend
 
 import dev.hibiscusreach.core.model.Millis
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 
 /** Limits of session connections to backend servers. */
 data class SessionLimits(
-    val openTimeout: Millis = 2.inSeconds,
+    val openTimeout: Millis = 2.seconds,
     /** Above every deadline of the reducer; it only ends connections that the reducer lost sight of. */
-    val answerTimeout: Millis = 60.inSeconds,
+    val answerTimeout: Millis = 60.seconds,
     /** An answer that is forwarded must fit into a frame of 1 MiB between proxies. */
     val maximumResponseBytes: Int = MAXIMUM_RESPONSE_BYTES,
 ) {
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/CallerLimits.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/CallerLimits.kt
@@ -1,7 +1,7 @@
 package dev.hibiscusreach.runtime.caller
 
 import dev.hibiscusreach.core.model.Millis
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 
 /** Limits that bound the memory and time that one caller connection can use. */
 data class CallerLimits(
@@ -14,10 +14,10 @@
     /** Requests of one connection that may wait for their answers; further ones are not read until then. */
     val maximumInFlight: Int = 16,
     /** From the first byte of a request to its last. */
-    val receiveTimeout: Millis = 10.inSeconds,
-    val idleTimeout: Millis = 60.inSeconds,
+    val receiveTimeout: Millis = 10.seconds,
+    val idleTimeout: Millis = 60.seconds,
     /** Longest time that the caller may take to accept an answer. */
-    val sendTimeout: Millis = 30.inSeconds,
+    val sendTimeout: Millis = 30.seconds,
 ) {
     private companion object {
         const val MAXIMUM_HEADER_BYTES = 16 * 1024
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/RequestReader.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/RequestReader.kt
@@ -12,7 +12,7 @@
 import dev.hibiscusreach.core.model.Millis
 import dev.hibiscusreach.core.model.RequestIdentifier
 import dev.hibiscusreach.core.model.SessionToken
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 import java.util.UUID
 
 /** A caller's HTTP request as received, whole. */
@@ -80,7 +80,7 @@
     private fun invalid(header: String) = malformed("the header $header must be given once, with a valid name")
 
     private companion object {
-        val DEFAULT_DEADLINE = 10.inSeconds
+        val DEFAULT_DEADLINE = 10.seconds
     }
 }
 
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/peer/PeerLinkSettings.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/peer/PeerLinkSettings.kt
@@ -1,22 +1,22 @@
 package dev.hibiscusreach.runtime.peer
 
 import dev.hibiscusreach.core.model.Millis
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 
 /** Limits and timing of the links between proxies. */
 data class PeerLinkSettings(
-    val connectTimeout: Millis = 2.inSeconds,
-    val handshakeTimeout: Millis = 2.inSeconds,
+    val connectTimeout: Millis = 2.seconds,
+    val handshakeTimeout: Millis = 2.seconds,
     /** Bytes that wait to be sent on one link; a link with more is taken for broken. */
     val maximumQueuedBytes: Int = MAXIMUM_QUEUED_BYTES,
     /** Links that were accepted from other processes. */
     val maximumAcceptedLinks: Int = 4_096,
     /** How often links are checked. */
-    val checkPeriod: Millis = 1.inSeconds,
+    val checkPeriod: Millis = 1.seconds,
     /** A link that stays silent this long after something was sent is taken for broken. */
-    val silenceLimit: Millis = 4.inSeconds,
+    val silenceLimit: Millis = 4.seconds,
     /** A link without messages is closed after this time. */
-    val idleLimit: Millis = 60.inSeconds,
+    val idleLimit: Millis = 60.seconds,
 ) {
     private companion object {
         const val MAXIMUM_QUEUED_BYTES = 4 * 1024 * 1024
--- a/runtime/src/test/kotlin/dev/hibiscusreach/runtime/backend/HttpServerControlTest.kt
+++ b/runtime/src/test/kotlin/dev/hibiscusreach/runtime/backend/HttpServerControlTest.kt
@@ -13,8 +13,8 @@
 import dev.hibiscusreach.core.model.Position
 import dev.hibiscusreach.core.model.ServerName
 import dev.hibiscusreach.core.model.Term
-import dev.hibiscusreach.core.model.inSeconds
 import dev.hibiscusreach.core.model.milliseconds
+import dev.hibiscusreach.core.model.seconds
 import dev.hibiscusreach.runtime.RecordingSink
 import dev.hibiscusreach.runtime.ScriptedServer
 import dev.hibiscusreach.runtime.ScriptedServer.Companion.response
@@ -100,7 +100,7 @@
         }
         ScriptedServer(slow).use { server ->
             withControl { control, sink ->
-                repeat(200) { control.probe(server.endpoint, timeout = 5.inSeconds) }
+                repeat(200) { control.probe(server.endpoint, timeout = 5.seconds) }
                 repeat(200) { sink.next<Event.ControlAnswered>() }
                 expectThat(server.connectionCount).isLessThanOrEqualTo(64)
             }
--- a/runtime/src/test/kotlin/dev/hibiscusreach/runtime/loop/EventLoopTest.kt
+++ b/runtime/src/test/kotlin/dev/hibiscusreach/runtime/loop/EventLoopTest.kt
@@ -7,10 +7,10 @@
 import dev.hibiscusreach.core.model.FailureDomainName
 import dev.hibiscusreach.core.model.NodeIdentity
 import dev.hibiscusreach.core.model.milliseconds
-import dev.hibiscusreach.core.reducer.Part
 import dev.hibiscusreach.core.reducer.ProxyReducer
 import dev.hibiscusreach.core.reducer.ProxySettings
 import dev.hibiscusreach.core.reducer.ProxyState
+import dev.hibiscusreach.core.reducer.ReducerPart
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.runtime.adapter.Adapters
 import dev.hibiscusreach.runtime.adapter.PeerLinks
@@ -37,8 +37,10 @@
             error("unexpected call of ${method.name}")
         } as T
 
-    private fun withLoop(part: Part, test: (EventLoop) -> Unit) {
-        val recording = Part { state, event, context -> part.handle(state, event, context).also { handled += event } }
+    private fun withLoop(part: ReducerPart, test: (EventLoop) -> Unit) {
+        val recording = ReducerPart { state, event, context ->
+            part.handle(state, event, context).also { handled += event }
+        }
         val loop = EventLoop(ProxyState.initial(settings), SystemClock(), ProxyReducer(listOf(recording)))
         val adapters =
             Adapters(
@@ -60,7 +62,7 @@
     fun `timers that are due come before events that wait`() {
         val blocked = CountDownLatch(1)
         val entered = CountDownLatch(1)
-        val part = Part { state, event, _ ->
+        val part = ReducerPart { state, event, _ ->
             when (event) {
                 Event.Started -> Step(state, listOf(Effect.StartTimer(TimerKey.PoolPeriod, 50.milliseconds)))
                 Event.DrainRequested -> {
@@ -87,7 +89,7 @@
     /** Guards against one event whose handling fails and that ends the process with all its requests. */
     @Test
     fun `the loop goes on after a defect`() {
-        val part = Part { state, event, _ ->
+        val part = ReducerPart { state, event, _ ->
             when (event) {
                 Event.Started -> error("a defect of the reducer")
                 Event.DrainRequested -> Step(state, listOf(Effect.Exit))
--- a/runtime/src/test/kotlin/dev/hibiscusreach/runtime/platform/HttpPlatformClientTest.kt
+++ b/runtime/src/test/kotlin/dev/hibiscusreach/runtime/platform/HttpPlatformClientTest.kt
@@ -7,7 +7,7 @@
 import dev.hibiscusreach.core.event.PlatformCall
 import dev.hibiscusreach.core.event.PlatformCallNumber
 import dev.hibiscusreach.core.model.Endpoint
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 import dev.hibiscusreach.runtime.RecordingSink
 import dev.hibiscusreach.runtime.ScriptedServer
 import dev.hibiscusreach.runtime.ScriptedServer.Companion.response
@@ -26,7 +26,7 @@
         withNetwork { group ->
             val sink = RecordingSink()
             HttpPlatformClient(group, endpoints.toList(), sink).use {
-                it.call(Effect.CallPlatform(PlatformCallNumber(PartName.GROUPS, 1), request, 2.inSeconds))
+                it.call(Effect.CallPlatform(PlatformCallNumber(PartName.GROUPS, 1), request, 2.seconds))
                 sink.next<Event.PlatformAnswered>().answer
             }
         }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/SessionSettings.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/SessionSettings.kt
@@ -4,8 +4,8 @@
 import dev.hibiscusreach.core.model.FailureDomainName
 import dev.hibiscusreach.core.model.Millis
 import dev.hibiscusreach.core.model.RegionName
-import dev.hibiscusreach.core.model.inSeconds
 import dev.hibiscusreach.core.model.milliseconds
+import dev.hibiscusreach.core.model.seconds
 import dev.hibiscusreach.sessions.model.ProxyIdentity
 
 /** Where this proxy runs. */
@@ -30,7 +30,7 @@
     /** Period of the deadline checks; half of the shortest pause before a retry. */
     val review: Millis = 25.milliseconds,
     /** Time that a session waits for the first configuration; half of the time that callers wait for a session. */
-    val arrival: Millis = 1.inSeconds,
+    val arrival: Millis = 1.seconds,
     /** Tries of a statement that is known not to have run, or that only reads. */
     val attempts: Int = 4,
     /** Pause before a statement goes to the same overloaded server again; about one statement's work. */
@@ -62,7 +62,7 @@
     /** A replica that lacked a position is not asked for it again for this long; several times its usual lag. */
     val behindPause: Millis = 200.milliseconds,
     /** A server whose entry is missing for longer is gone; entries return within two seconds of an outage. */
-    val missingLimit: Millis = 3.inSeconds,
+    val missingLimit: Millis = 3.seconds,
     /** Extra cost of a server in another failure domain or region, in milliseconds of latency. */
     val domainPenalty: Millis = 15.milliseconds,
     val regionPenalty: Millis = 60.milliseconds,
@@ -73,7 +73,7 @@
 /** The lease that allows a proxy to use primaries. */
 data class LeaseSettings(
     /** Validity of a read of the fleet records; longer than the usual outages of the store. */
-    val duration: Millis = 10.inSeconds,
+    val duration: Millis = 10.seconds,
     /** Period of the reads. */
     val renewal: Millis = 2500.milliseconds,
     /** Pause after a failed read. */
@@ -81,7 +81,7 @@
     /** Period in which one peer is pinged. */
     val ping: Millis = 1000.milliseconds,
     /** A peer that is silent for this long is expelled; longer than short pauses of a process. */
-    val expulsion: Millis = 3.inSeconds,
+    val expulsion: Millis = 3.seconds,
     /** Pings in a row that a peer misses before it is expelled. */
     val missedPings: Int = 2,
     /** Validity that must be left when a write is sent; longer than writes take under load. */
@@ -118,17 +118,17 @@
      * Time after which a successor is taken that may lack acknowledged commits; well above the time in which a crashed
      * primary usually returns with its log.
      */
-    val missingCommits: Millis = 20.inSeconds,
+    val missingCommits: Millis = 20.seconds,
     /** Time for a successor to receive the whole log in a planned change. */
-    val catchUp: Millis = 2.inSeconds,
+    val catchUp: Millis = 2.seconds,
     /** Age up to which the right to promote is used after it was acquired. */
-    val dutyUse: Millis = 3.inSeconds,
+    val dutyUse: Millis = 3.seconds,
     /** Age after which another proxy takes the right to promote over; well above [dutyUse]. */
-    val dutyTakeover: Millis = 5.inSeconds,
+    val dutyTakeover: Millis = 5.seconds,
     /** Time after which an order to promote without an effect is repeated. */
     val promotion: Millis = 2500.milliseconds,
     /** Time after which another proxy continues a change that makes no progress. */
-    val takeover: Millis = 5.inSeconds,
+    val takeover: Millis = 5.seconds,
     /** Time after which the proxy that changes a primary is asked whether it still runs. */
     val takeoverCheck: Millis = 1500.milliseconds,
 )
--- a/standins/src/main/kotlin/dev/hibiscusreach/standins/slopes/LoneProxy.kt
+++ b/standins/src/main/kotlin/dev/hibiscusreach/standins/slopes/LoneProxy.kt
@@ -16,7 +16,7 @@
 import dev.hibiscusreach.core.model.RequestIdentifier
 import dev.hibiscusreach.core.model.SessionToken
 import dev.hibiscusreach.core.model.Statement
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 import kotlin.random.Random
 
 /** One proxy that believes in [nodes] - 1 peers; its effects go nowhere and no time passes. */
@@ -56,7 +56,7 @@
             caller = CallerName("caller-0"),
             database = DatabaseName(database),
             session = SessionToken(),
-            deadline = 20.inSeconds,
+            deadline = 20.seconds,
             body =
             RequestBody.Statements(
                 statements = listOf(Statement("put key-$index value-$index")),
--- a/systemtests/src/test/kotlin/dev/hibiscusreach/systemtests/fleet/FailoverGapTest.kt
+++ b/systemtests/src/test/kotlin/dev/hibiscusreach/systemtests/fleet/FailoverGapTest.kt
@@ -1,6 +1,6 @@
 package dev.hibiscusreach.systemtests.fleet
 
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 import dev.hibiscusreach.core.reducer.ProxySettings
 import org.junit.jupiter.api.DynamicTest
 import org.junit.jupiter.api.TestFactory
@@ -77,7 +77,7 @@
     }
 
     private fun longTimeout(settings: ProxySettings): ProxySettings =
-        settings.copy(group = settings.group.copy(suspicionAfter = 10.inSeconds))
+        settings.copy(group = settings.group.copy(suspicionAfter = 10.seconds))
 
     private fun summary(sorted: List<Long>): String =
         "median ${sorted[sorted.size / 2]} ms, worst ${sorted.last()} ms of ${sorted.size}"
