--- a/core/src/main/kotlin/dev/hibiscusreach/core/event/ConfigurationChange.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/event/ConfigurationChange.kt
@@ -7,13 +7,13 @@
 import dev.hibiscusreach.core.model.Rules
 import kotlinx.serialization.Serializable
 
-/** The entries in which a generation of the configuration differs from an earlier one. */
+/** The difference between two generations of the configuration. */
 @Serializable
 data class ConfigurationChange(
     /** The generation that the change applies to. */
     val base: Long,
     val generation: Long,
-    /** Added and changed entries, each one whole. */
+    /** Added and changed entries; each one is complete. */
     val inventory: Inventory = Inventory(),
     /** Added and changed rules. */
     val rules: Rules = Rules(),
--- a/core/src/main/kotlin/dev/hibiscusreach/core/event/Effect.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/event/Effect.kt
@@ -7,7 +7,7 @@
 import dev.hibiscusreach.core.model.RequestIdentifier
 import dev.hibiscusreach.core.model.ServerName
 
-/** Something that the reducer wants done outside. */
+/** A side effect that the reducer requests from the runtime. */
 sealed interface Effect {
     /** Fires [Event.TimerFired] after [delay]. Replaces a running timer with the same key. */
     data class StartTimer(val key: TimerKey, val delay: Millis) : Effect
@@ -15,7 +15,7 @@
     /** Stops a timer; does nothing if it is not running. */
     data class CancelTimer(val key: TimerKey) : Effect
 
-    /** Sends the whole answer to the caller that made the request. */
+    /** Sends the complete answer to the caller that made the request. */
     data class AnswerCaller(
         val arrival: ArrivalNumber,
         val identifier: RequestIdentifier,
@@ -47,7 +47,7 @@
     /** Sends a message to a peer. May fail with [Event.PeerUnreachable]. */
     data class SendPeerMessage(val to: NodeIdentity, val message: PeerMessage) : Effect
 
-    /** Opens links to processes of unknown identity. [Event.PeerIntroduced] follows for each that answers. */
+    /** Connects to seed addresses of unknown processes. [Event.PeerIntroduced] follows for each that answers. */
     data class ContactSeeds(val endpoints: List<Endpoint>) : Effect
 
     /** Calls the platform. Exactly one [Event.PlatformAnswered] follows, within [timeout]. */
@@ -66,7 +66,7 @@
 /** Level of a log line. */
 enum class LogLevel { DEBUG, INFO, WARN, ERROR }
 
-/** The counters of the reducer; the label's meaning is part of the name. */
+/** Counters that the reducer increments, with the metric name and the name of its label. */
 enum class CounterName(val metric: String, val label: String) {
     READS_BY_ROLE("hibiscusreach.reads", "role"),
     REQUESTS_BY_RESULT("hibiscusreach.requests", "result"),
--- a/core/src/main/kotlin/dev/hibiscusreach/core/event/Event.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/event/Event.kt
@@ -10,21 +10,21 @@
 import dev.hibiscusreach.core.model.ServerName
 import dev.hibiscusreach.core.model.Term
 
-/** An event with the time at which it is handled and a random number for decisions that need one. */
+/** An event with the time at which it is handled and a random number for randomized decisions. */
 data class TimedEvent(val at: MonotonicTime, val wallClockMillis: Long, val random: Long, val event: Event)
 
-/** Anything that the reducer reacts to: inputs from outside, and [Signal]s between the reducer's parts. */
+/** Input of the reducer: external events, and [Signal]s between the reducer's parts. */
 sealed interface Event {
     /** The first event of every process. */
     data object Started : Event
 
-    /** A timer that was started with [Effect.StartTimer] has run out. */
+    /** A timer that was started with [Effect.StartTimer] has expired. */
     data class TimerFired(val key: TimerKey) : Event
 
     /** A caller's request arrived at this process. */
     data class RequestArrived(val arrival: ArrivalNumber, val request: CallerRequest) : Event
 
-    /** The caller closed its connection before it got the answer. */
+    /** The caller closed its connection before the answer was sent. */
     data class CallerDisconnected(val arrival: ArrivalNumber) : Event
 
     /** A session connection is ready. */
@@ -63,7 +63,7 @@
     /** A message to a peer could not be delivered, or the link to the peer broke. */
     data class PeerUnreachable(val peer: NodeIdentity) : Event
 
-    /** A process at a seed address introduced itself when the link to it was opened. */
+    /** A process at a seed address sent its identity when the link to it was opened. */
     data class PeerIntroduced(val update: PeerUpdate) : Event
 
     /** The platform answered a call. */
@@ -75,22 +75,22 @@
 
 /** Why a connection or call failed. */
 enum class ConnectionFailure {
-    /** Nothing listens there. The command did not run. */
+    /** The connection was refused, so the command did not run. */
     REFUSED,
 
     /** The server is at its connection limit. */
     LIMIT_REACHED,
 
-    /** No answer in time. The command may have run. */
+    /** The answer did not arrive in time. The command may have run. */
     TIMED_OUT,
 
     /** The connection broke. The command may have run. */
     BROKEN,
 }
 
-/** Identifies a timer; starting a key again replaces its timer. */
+/** Identifies a timer; starting a timer replaces a running one with the same key. */
 sealed interface TimerKey {
-    /** Drives the membership's protocol period. */
+    /** Fires once per period of the membership protocol. */
     data object MembershipPeriod : TimerKey
 
     /** Ends the wait for an acknowledgement of the ping with [sequence]. */
@@ -99,19 +99,19 @@
     /** Ends the suspicion of [node]. */
     data class SuspicionTimeout(val node: NodeIdentity) : TimerKey
 
-    /** Drives the reading of the platform's host list. */
+    /** Triggers the periodic read of the platform's host list. */
     data object HostListPeriod : TimerKey
 
-    /** Ends the pause before the next try of a platform watch. */
+    /** Ends the delay before a platform watch is retried. */
     data object WatchRetry : TimerKey
 
-    /** Drives the retries and anti-entropy of the configuration. */
+    /** Triggers the periodic retries and anti-entropy of the configuration. */
     data object ConfigurationPeriod : TimerKey
 
-    /** Drives the probes of the database groups. */
+    /** Triggers the periodic probes of the database groups. */
     data object ProbePeriod : TimerKey
 
-    /** Drives one step of the failover of [database]. */
+    /** Triggers the next step of the failover of [database]. */
     data class FailoverStep(val database: DatabaseName) : TimerKey
 
     /** Ends the wait for the durability of the write of [attempt]. */
@@ -120,22 +120,22 @@
     /** Ends the wait for the leadership check of [attempt]. */
     data class LeadershipTimeout(val attempt: AttemptNumber) : TimerKey
 
-    /** Drives pool maintenance: idle probes, queue time-outs, leases. */
+    /** Triggers periodic pool maintenance: idle probes, queue timeouts, leases. */
     data object PoolPeriod : TimerKey
 
     /** Ends the wait of [connection] for an answer. */
     data class ConnectionTimeout(val connection: ConnectionNumber) : TimerKey
 
-    /** Ends the time that the caller gave for the request of [arrival]. */
+    /** Deadline of the request of [arrival]. */
     data class RequestDeadline(val arrival: ArrivalNumber) : TimerKey
 
-    /** Ends a step of the request of [arrival], such as the wait for a fresh replica or a pause before a retry. */
+    /** Ends a step of the request of [arrival], such as the wait for a fresh replica or the delay before a retry. */
     data class RequestStep(val arrival: ArrivalNumber) : TimerKey
 
-    /** Ends the idle time or the life of an interactive transaction. */
+    /** Ends the idle time or the lifetime of an interactive transaction. */
     data class TransactionTimeout(val transaction: String) : TimerKey
 
-    /** Drives the steps of a graceful shutdown. */
+    /** Triggers the next step of a graceful shutdown. */
     data object DrainStep : TimerKey
 }
 
@@ -144,16 +144,16 @@
     /** The set of live peers, or the condition of one of them, changed. */
     data object MembershipChanged : Signal
 
-    /** [node] is gone, was replaced at its address, or came back after it had been taken for gone. */
+    /** [node] left or failed, was replaced at its address, or returned after it had been declared gone. */
     data class PeerGone(val node: NodeIdentity) : Signal
 
     /** A higher generation of the configuration is in force. */
     data class ConfigurationChanged(val generation: Long) : Signal
 
-    /** The platform's list names backend servers that are leaving. */
+    /** The platform's host list marks [servers] as leaving. */
     data class LeavingServersListed(val servers: Set<ServerName>) : Signal
 
-    /** This process did not run for [pausedMillis] although a timer was due. */
+    /** This process was paused: a timer was overdue by [pausedMillis]. */
     data class PauseDetected(val pausedMillis: Long) : Signal
 
     /** A server gave its status in an answer to something sent at [sentAt]. */
@@ -162,13 +162,13 @@
     /** A session connection to a server failed. */
     data class ServerFailed(val server: ServerName, val failure: ConnectionFailure) : Signal
 
-    /** A new term has a primary, or the primary became unknown. */
+    /** A primary was promoted in a new term, or the primary became unknown. */
     data class PrimaryChanged(val database: DatabaseName, val term: Term, val primary: ServerName?) : Signal
 
-    /** The health or positions of a database's servers changed in a way that may let a waiting read go on. */
+    /** The health or positions of a database's servers changed in a way that may unblock a waiting read. */
     data class GroupStatusChanged(val database: DatabaseName) : Signal
 
-    /** Asks the groups part for an answer once a majority holds [position] in its term. */
+    /** Asks the groups part to report when a majority has stored [position] in its term. */
     data class DurabilityRequested(
         val attempt: AttemptNumber,
         val database: DatabaseName,
@@ -176,13 +176,13 @@
         val waitUntil: MonotonicTime,
     ) : Signal
 
-    /** A majority holds the position that [attempt] asked for. */
+    /** A majority has stored the position that [attempt] waits for. */
     data class DurabilityReached(val attempt: AttemptNumber) : Signal
 
-    /** The term changed or the wait ran out before a majority was known to hold the position. */
+    /** The term changed or the wait timed out before a majority was known to have stored the position. */
     data class DurabilityNotReached(val attempt: AttemptNumber) : Signal
 
-    /** Asks the groups part for a check that no higher term exists, sent after [since]. */
+    /** Asks the groups part to verify that no higher term exists, with messages sent after [since]. */
     data class LeadershipCheckRequested(
         val attempt: AttemptNumber,
         val database: DatabaseName,
@@ -190,10 +190,10 @@
         val waitUntil: MonotonicTime,
     ) : Signal
 
-    /** A majority answered in the current term to something sent after the wanted time. */
+    /** A majority answered in the current term to messages sent after the requested time. */
     data class LeadershipConfirmed(val attempt: AttemptNumber) : Signal
 
-    /** The term changed or the wait ran out before leadership was confirmed. */
+    /** The term changed or the wait timed out before leadership was confirmed. */
     data class LeadershipNotConfirmed(val attempt: AttemptNumber) : Signal
 
     /** Asks the pools part for a connection to [server] on behalf of [caller]. */
@@ -204,26 +204,26 @@
         val waitUntil: MonotonicTime,
     ) : Signal
 
-    /** Takes a [ConnectionRequested] back. */
+    /** Cancels a [ConnectionRequested]. */
     data class ConnectionRequestCancelled(val attempt: AttemptNumber) : Signal
 
-    /** [connection] belongs to [attempt] until it is returned. */
+    /** [connection] is reserved for [attempt] until it is returned. */
     data class ConnectionGranted(val attempt: AttemptNumber, val connection: ConnectionNumber) : Signal
 
-    /** No connection can be had for [attempt]. Nothing was sent. */
+    /** No connection is available for [attempt]. Nothing was sent. */
     data class ConnectionDenied(val attempt: AttemptNumber, val kind: ErrorKind) : Signal
 
-    /** A granted connection comes back to its pool. */
+    /** A granted connection is returned to its pool. */
     data class ConnectionReturned(val connection: ConnectionNumber, val condition: ConnectionCondition) : Signal
 
-    /** A granted connection broke or timed out; it must not be used or returned any more. */
+    /** A granted connection broke or timed out; its holder must neither use nor return it. */
     data class ConnectionLost(val connection: ConnectionNumber, val failure: ConnectionFailure) : Signal
 
     /** The graceful shutdown reached a new phase. */
     data class DrainPhaseChanged(val phase: DrainPhase) : Signal
 }
 
-/** The state in which a connection is returned. */
+/** Whether a returned connection can be reused without a reset. */
 enum class ConnectionCondition {
     /** Every command was answered and no transaction is open. */
     CLEAN,
@@ -234,15 +234,15 @@
 
 /** Phases of a graceful shutdown. */
 enum class DrainPhase {
-    /** Normal work. */
+    /** Normal operation. */
     SERVING,
 
-    /** Not ready for the balancer any more; still takes what arrives. */
+    /** Reported as not ready to the load balancer; still accepts arriving requests. */
     LEAVING,
 
-    /** Takes no new work; finishes what is in flight. */
+    /** Accepts no new requests; completes those in flight. */
     FINISHING,
 
-    /** Nothing is left; the process may exit. */
+    /** Nothing is in flight; the process may exit. */
     FINISHED,
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/event/PeerMessage.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/event/PeerMessage.kt
@@ -13,21 +13,21 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What a node believes of a peer. */
+/** State of a peer in a node's membership view. */
 @Serializable
 enum class PeerCondition { ALIVE, SUSPECTED, DRAINING, GONE }
 
-/** One entry of the gossip about the fleet's members. */
+/** One entry of the membership gossip. */
 @Serializable
 data class PeerUpdate(
     val node: NodeIdentity,
     val failureDomain: FailureDomainName,
     val condition: PeerCondition,
-    /** Raised by the node itself to refute a suspicion. */
+    /** Counter that the node itself increments to refute a suspicion. */
     val refutation: Int = 0,
 )
 
-/** Permits that a permit home has lent, as told to its successor. */
+/** Connection permits that a permit home has lent to [borrower], as handed over to the next permit home. */
 @Serializable
 data class PermitLoan(val borrower: NodeIdentity, val sequence: Long, val count: Int, val remainingMillis: Long)
 
@@ -41,9 +41,9 @@
         val sequence: Long,
         val updates: List<PeerUpdate>,
         val generation: Long,
-        /** Set if the ping was asked for by another node, which gets the acknowledgement passed on. */
+        /** Set for an indirect ping: the node that requested it and to which the acknowledgement is relayed. */
         val onBehalfOf: NodeIdentity? = null,
-        /** Set while the sender does not know the fleet; the acknowledgement then has the receiver's whole view. */
+        /** Set while the sender has no membership view; the acknowledgement then has the receiver's complete view. */
         val wantsView: Boolean = false,
     ) : PeerMessage
 
@@ -54,21 +54,21 @@
         val sequence: Long,
         val updates: List<PeerUpdate>,
         val generation: Long,
-        /** The node that was pinged, if the acknowledgement was passed on. */
+        /** The node that was pinged, if the acknowledgement was relayed. */
         val target: NodeIdentity? = null,
     ) : PeerMessage
 
-    /** Asks the receiver to ping [target] and to pass the acknowledgement on. */
+    /** Asks the receiver to ping [target] and to relay the acknowledgement. */
     @Serializable
     @SerialName("indirectPing")
     data class IndirectPing(val sequence: Long, val target: NodeIdentity) : PeerMessage
 
-    /** Tells the failure domain what one of its watchers read in the platform's host list. */
+    /** Tells peers of the failure domain which hosts the platform's host list marks as leaving. */
     @Serializable
     @SerialName("leavingHostsReported")
     data class LeavingHostsReported(val servers: Set<ServerName>, val proxies: Set<Endpoint>) : PeerMessage
 
-    /** Tells that the sender has the configuration of [generation]. */
+    /** Announces that the sender has the configuration of [generation]. */
     @Serializable
     @SerialName("configurationAnnounced")
     data class ConfigurationAnnounced(val generation: Long) : PeerMessage
@@ -78,7 +78,7 @@
     @SerialName("configurationRequested")
     data class ConfigurationRequested(val haveGeneration: Long) : PeerMessage
 
-    /** The sender's whole configuration, or one page of it if it is too large for one message. */
+    /** The sender's complete configuration, or one page of it if it is too large for one message. */
     @Serializable
     @SerialName("configurationDelivered")
     data class ConfigurationDelivered(
@@ -97,7 +97,7 @@
         val recentChanges: List<String> = emptyList(),
     ) : PeerMessage
 
-    /** Asks a monitor whether it sees the primary of [database] in [term]. */
+    /** Asks a process that monitors [database] whether it can reach the primary of [term]. */
     @Serializable
     @SerialName("sightingRequested")
     data class SightingRequested(val database: DatabaseName, val term: Term) : PeerMessage
@@ -107,22 +107,22 @@
     @SerialName("sightingReported")
     data class SightingReported(val database: DatabaseName, val term: Term, val seen: Boolean) : PeerMessage
 
-    /** Tells the primary of a term that the sender knows to have been promoted. */
+    /** Announces the promoted primary of [term]. */
     @Serializable
     @SerialName("groupAnnounced")
     data class GroupAnnounced(val database: DatabaseName, val term: Term, val primary: ServerName) : PeerMessage
 
-    /** A caller's request that the receiver should carry out. */
+    /** A caller's request that the receiver should execute. */
     @Serializable
     @SerialName("forwardedRequest")
     data class ForwardedRequest(
         val arrival: ArrivalNumber,
-        /** Nodes that have forwarded the request, to end loops. */
+        /** Number of nodes that have forwarded the request; limited to prevent forwarding loops. */
         val hops: Int,
         val request: CallerRequest,
     ) : PeerMessage
 
-    /** Answers [ForwardedRequest] with the sender's [arrival]. */
+    /** Answers a [ForwardedRequest]; [arrival] is the number from that request. */
     @Serializable
     @SerialName("forwardedAnswer")
     data class ForwardedAnswer(val arrival: ArrivalNumber, val answer: CallerAnswer) : PeerMessage
@@ -145,7 +145,7 @@
     @SerialName("permitsRequested")
     data class PermitsRequested(val sequence: Long, val caller: CallerName, val count: Int) : PeerMessage
 
-    /** Grants a lease of permits, counted from the request; [count] may be lower than asked, also 0. */
+    /** Grants a lease of permits that starts at the request; [count] may be lower than requested, also 0. */
     @Serializable
     @SerialName("permitsGranted")
     data class PermitsGranted(
@@ -155,12 +155,12 @@
         val leaseMillis: Long,
     ) : PeerMessage
 
-    /** Asks for the loans that the receiver has granted as the permit home of [caller]. */
+    /** Asks for the loans that the receiver has granted as the previous permit home of [caller]. */
     @Serializable
     @SerialName("permitBookRequested")
     data class PermitLoansRequested(val caller: CallerName) : PeerMessage
 
-    /** Answers [PermitLoansRequested]. The new permit home grants nothing of its own for [quietMillis]. */
+    /** Answers [PermitLoansRequested]. The new permit home grants none of its own permits for [quietMillis]. */
     @Serializable
     @SerialName("permitBookDelivered")
     data class PermitLoansDelivered(
@@ -169,7 +169,7 @@
         val quietMillis: Long,
     ) : PeerMessage
 
-    /** A message of a type that this version does not know; ignored. */
+    /** A message of a type that this version does not support; ignored. */
     @Serializable
     @SerialName("unknown")
     data object Unknown : PeerMessage
--- a/core/src/main/kotlin/dev/hibiscusreach/core/event/PlatformCalls.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/event/PlatformCalls.kt
@@ -15,7 +15,7 @@
     /** Writes an object if its version is still [expectedVersion]; 0 means that it must not exist. */
     data class Put(val key: String, val value: String, val expectedVersion: Long) : PlatformCall
 
-    /** Waits until the object has a version above [afterVersion], at most [wait]. */
+    /** Waits until the object has a version above [afterVersion], at most [waitMillis]. */
     data class Watch(val key: String, val afterVersion: Long, val waitMillis: Long) : PlatformCall
 
     /** Reads the list of hosts. */
@@ -24,7 +24,7 @@
 
 /** The platform's answer to a call. */
 sealed interface PlatformAnswer {
-    /** The object as it stands. */
+    /** The current value and version of the object. */
     data class Found(val key: String, val value: String, val version: Long) : PlatformAnswer
 
     /** The object does not exist. */
@@ -33,16 +33,16 @@
     /** The conditional update took effect. */
     data class Stored(val key: String, val version: Long) : PlatformAnswer
 
-    /** The conditional update did not take effect, because the version was another one. */
+    /** The conditional update did not take effect, because the object had another version. */
     data class VersionConflict(val key: String, val actualVersion: Long) : PlatformAnswer
 
-    /** The watch ran out with no change. */
+    /** The watch timed out without a change. */
     data class Unchanged(val key: String) : PlatformAnswer
 
-    /** The list of hosts, which lags. */
+    /** The list of hosts, which may be out of date. */
     data class Hosts(val hosts: List<ListedHost>) : PlatformAnswer
 
-    /** No answer came or the platform refused the call. A put may have taken effect nevertheless. */
+    /** The call timed out or was refused by the platform. A put may still have taken effect. */
     data class Failed(val reason: String) : PlatformAnswer
 }
 
@@ -52,7 +52,7 @@
     val peerEndpoint: Endpoint,
     val failureDomain: FailureDomainName,
     val leaving: Boolean = false,
-    /** Set if the host is a backend server's. */
+    /** Set if the host runs a backend server. */
     val server: ServerName? = null,
 )
 
@@ -69,8 +69,8 @@
 @Serializable
 data class ConfigurationRoot(
     val generation: Long,
-    /** SHA-256 of the chunks, in order. The chunks joined are the configuration as JSON. */
+    /** SHA-256 hashes of the chunks, in order. The concatenated chunks are the configuration as JSON. */
     val chunkHashes: List<String>,
-    /** Identifiers of the latest edits, newest last, so that an edit sent again is recognized. */
+    /** Identifiers of the latest edits, newest last, used to detect retried edits. */
     val recentChanges: List<String> = emptyList(),
 )
--- a/core/src/main/kotlin/dev/hibiscusreach/core/event/ServerCommands.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/event/ServerCommands.kt
@@ -10,23 +10,23 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** The idempotency key of a write, stored in the database with the effect. */
+/** The idempotency key of a write, stored in the database in the same transaction as the write. */
 @Serializable
 data class IdempotencyKey(
     val identifier: RequestIdentifier,
-    /** Digest of the request's body, to tell a repeated request from a reused identifier. */
+    /** Digest of the request's body, which distinguishes a retry from an identifier reused for another request. */
     val fingerprint: String,
 )
 
 /** A command on a pooled session connection. A server refuses a command whose term is lower than its own. */
 @Serializable
 sealed interface SessionCommand {
-    /** The sender's view of the current term. */
+    /** The term that the sender takes to be current. */
     val term: Term
 
     /**
      * Runs statements as one transaction and commits it. Reads are refused with [SessionAnswer.Behind] by a server
-     * that has not applied [minimumPosition]; writes are accepted by a primary only.
+     * that has not applied [minimumPosition]. Only a primary accepts writes.
      */
     @Serializable
     @SerialName("execute")
@@ -38,7 +38,7 @@
         val idempotencyKey: IdempotencyKey? = null,
     ) : SessionCommand
 
-    /** Opens a transaction on this connection, at a primary only. */
+    /** Opens a transaction on this connection. Only a primary accepts it. */
     @Serializable
     @SerialName("begin")
     data class Begin(override val term: Term, val minimumPosition: Position) : SessionCommand
@@ -58,12 +58,12 @@
     @SerialName("rollback")
     data class Rollback(override val term: Term) : SessionCommand
 
-    /** Ends whatever the connection has open and clears its session state. */
+    /** Aborts the connection's open transaction, if any, and clears its session state. */
     @Serializable
     @SerialName("reset")
     data class Reset(override val term: Term) : SessionCommand
 
-    /** Returns the idempotency record, or writes a cancellation record if there is none. At a primary only. */
+    /** Returns the idempotency record, or writes a cancellation record if none exists. Only a primary accepts it. */
     @Serializable
     @SerialName("resolve")
     data class Resolve(override val term: Term, val identifier: RequestIdentifier) : SessionCommand
@@ -72,16 +72,16 @@
 /** The answer of a server on a session connection. */
 @Serializable
 sealed interface SessionAnswer {
-    /** What every answer says of the server that gave it. */
+    /** Status of the answering server. */
     val status: ServerStatus
 
-    /** The command was carried out; [status] has the position after it. */
+    /** The command was executed; [status] has the position after it. */
     @Serializable
     @SerialName("done")
     data class Done(
         override val status: ServerStatus,
         val results: List<StatementResult> = emptyList(),
-        /** For a write, the position of its entry; for a read, the position that it saw. */
+        /** For a write, the position of its log entry; for a read, the position that it was served at. */
         val position: Position,
         /** Whether the results come from an idempotency record. */
         val replayed: Boolean = false,
@@ -92,7 +92,7 @@
     @SerialName("behind")
     data class Behind(override val status: ServerStatus) : SessionAnswer
 
-    /** The server knows a higher term, or is not the primary that the command needs. Nothing ran. */
+    /** The server knows a higher term, or is not the primary although the command requires it. Nothing ran. */
     @Serializable
     @SerialName("wrongTerm")
     data class WrongTerm(override val status: ServerStatus) : SessionAnswer
@@ -102,7 +102,7 @@
     @SerialName("rejected")
     data class Rejected(override val status: ServerStatus, val message: String) : SessionAnswer
 
-    /** The transaction conflicted with another one and was rolled back; it may be tried again. */
+    /** The transaction conflicted with another one and was rolled back; it may be retried. */
     @Serializable
     @SerialName("conflict")
     data class Conflict(override val status: ServerStatus) : SessionAnswer
@@ -113,19 +113,19 @@
     data class IdentifierReused(override val status: ServerStatus) : SessionAnswer
 
     /**
-     * The identifier has a cancellation record: it never ran and never will. [position] is that record's position,
-     * which a majority must hold before anybody relies on it.
+     * The identifier has a cancellation record: the request has not run and cannot run any more. [position] is the
+     * position of the record, which must be stored on a majority before the cancellation is reported.
      */
     @Serializable
     @SerialName("cancelled")
     data class Cancelled(override val status: ServerStatus, val position: Position) : SessionAnswer
 
-    /** The connection has no open transaction, although the command needs one. */
+    /** The connection has no open transaction, although the command requires one. */
     @Serializable
     @SerialName("noTransaction")
     data class NoTransaction(override val status: ServerStatus) : SessionAnswer
 
-    /** The server takes no new work now. Nothing ran. */
+    /** The server temporarily accepts no new commands. Nothing ran. */
     @Serializable
     @SerialName("unavailable")
     data class Unavailable(override val status: ServerStatus) : SessionAnswer
@@ -135,7 +135,7 @@
 @Serializable
 enum class ServerRole { PRIMARY, REPLICA }
 
-/** What a server says of itself. */
+/** Status that a server reports about itself. */
 @Serializable
 data class ServerStatus(
     val server: ServerName,
@@ -157,14 +157,14 @@
     data object Probe : ControlCommand
 
     /**
-     * Waits until the server holds [position] while its term is still [term], at most [waitMillis]. Answered with
+     * Waits up to [waitMillis] until the server has stored [position] while its term is still [term]. Answered with
      * [ControlAnswer.Confirmed], or with [ControlAnswer.Refused] if the term changed or the time ran out.
      */
     @Serializable
     @SerialName("confirm")
     data class Confirm(val term: Term, val position: Position, val waitMillis: Long) : ControlCommand
 
-    /** Makes the server refuse every lower term. Accepted for a higher term, or again from the same proposer. */
+    /** Makes the server refuse all lower terms. Accepted for a higher term, or as a retry by the same proposer. */
     @Serializable
     @SerialName("fence")
     data class Fence(val term: Term, val proposer: NodeIdentity) : ControlCommand
@@ -183,15 +183,15 @@
 /** The answer of a server's control endpoint. */
 @Serializable
 sealed interface ControlAnswer {
-    /** What every answer says of the server that gave it. */
+    /** Status of the answering server. */
     val status: ServerStatus
 
-    /** The command was carried out. */
+    /** The command was executed. */
     @Serializable
     @SerialName("confirmed")
     data class Confirmed(override val status: ServerStatus) : ControlAnswer
 
-    /** The command was not carried out because of the server's term, role, or because the wait ran out. */
+    /** The command was not executed because of the server's term or role, or because the wait timed out. */
     @Serializable
     @SerialName("refused")
     data class Refused(override val status: ServerStatus, val reason: String) : ControlAnswer
--- a/core/src/main/kotlin/dev/hibiscusreach/core/model/ConfigurationIndex.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/model/ConfigurationIndex.kt
@@ -1,6 +1,6 @@
 package dev.hibiscusreach.core.model
 
-/** Look-ups over a [Configuration], built once for each generation. */
+/** Lookup maps over a [Configuration], built once for each generation. */
 class ConfigurationIndex(val configuration: Configuration) {
     private val groups = configuration.inventory.databaseGroups.associateBy { it.name }
     private val servers =
@@ -32,9 +32,9 @@
     /** Whether the inventory has the caller. */
     fun hasCaller(name: CallerName): Boolean = name in callers
 
-    /** The rule of a caller, or the default rule if the operators gave none. */
+    /** The rule of a caller, or the default rule if the configuration has none for it. */
     fun rule(caller: CallerName): CallerRule = rules[caller] ?: CallerRule(caller)
 
-    /** The region of a failure domain, or null if the inventory does not have the domain. */
+    /** The region of a failure domain, or null if the inventory does not list the domain. */
     fun region(domain: FailureDomainName): RegionName? = domains[domain]?.region
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/model/ErrorKind.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/model/ErrorKind.kt
@@ -16,32 +16,32 @@
     UNKNOWN,
 }
 
-/** What a caller can do after a refusal. */
+/** Whether and how a caller may retry a refused request. */
 @Serializable
 enum class RetryAdvice {
-    /** The same request will be refused again. */
+    /** A retry fails in the same way. */
     @SerialName("never")
     NEVER,
 
-    /** Send the same request with the same identifier again, through any proxy. */
+    /** Retry with the same request identifier, through any proxy. */
     @SerialName("same request")
     SAME_REQUEST,
 
-    /** As [SAME_REQUEST], after the stated pause. */
+    /** Like [SAME_REQUEST], after the delay given in the response. */
     @SerialName("after a pause")
     AFTER_A_PAUSE,
 }
 
-/** The closed list of errors, with the answer that each one leads to. */
+/** All errors that a caller can receive, with their HTTP status, outcome and retry advice. */
 @Serializable
 enum class ErrorKind(
-    /** Stable name in answers. */
+    /** Name of the error in responses; part of the public interface. */
     val label: String,
-    /** Status code of the HTTP answer. */
+    /** Status code of the HTTP response. */
     val httpStatus: Int,
     /** Whether the request took effect. */
     val outcome: Outcome,
-    /** What the caller can do. */
+    /** Whether the caller may retry. */
     val advice: RetryAdvice,
 ) {
     MALFORMED_REQUEST("malformed-request", httpStatus = 400, Outcome.NOT_RUN, RetryAdvice.NEVER),
--- a/core/src/main/kotlin/dev/hibiscusreach/core/model/Inventory.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/model/Inventory.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.Serializable
 
-/** A failure domain and the region that it stands in. */
+/** A failure domain and its region. */
 @Serializable
 data class FailureDomain(val name: FailureDomainName, val region: RegionName)
 
@@ -11,17 +11,17 @@
 data class BackendServer(
     val name: ServerName,
     val failureDomain: FailureDomainName,
-    /** Where sessions connect. Counted against [connectionLimit]. */
+    /** Endpoint for session connections, which count against [connectionLimit]. */
     val sessionEndpoint: Endpoint,
-    /** Where control commands go. Not counted against [connectionLimit]. */
+    /** Endpoint for control commands, which do not count against [connectionLimit]. */
     val controlEndpoint: Endpoint,
-    /** Session connections that the server accepts from all proxies together. */
+    /** Maximum number of session connections that the server accepts from all proxies together. */
     val connectionLimit: Int,
-    /** Statements that the server runs at the same time. */
+    /** Maximum number of statements that the server runs concurrently. */
     val slots: Int,
 )
 
-/** A database and the backend servers that hold it. */
+/** A database and the backend servers that store it. */
 @Serializable
 data class DatabaseGroup(val name: DatabaseName, val servers: List<BackendServer>) {
     /** The number of servers that form a majority. */
@@ -31,11 +31,11 @@
     fun server(name: ServerName): BackendServer? = servers.find { it.name == name }
 }
 
-/** A program or device that sends requests. */
+/** A client program or device that sends requests. */
 @Serializable
 data class Caller(val name: CallerName)
 
-/** What the operators load from their asset register. */
+/** The failure domains, database groups and callers that operators import from their asset register. */
 @Serializable
 data class Inventory(
     val failureDomains: List<FailureDomain> = emptyList(),
@@ -43,35 +43,35 @@
     val callers: List<Caller> = emptyList(),
 )
 
-/** What one caller accepts and may use. */
+/** Connection limit and read staleness bounds of one caller. */
 @Serializable
 data class CallerRule(
     val caller: CallerName,
-    /** Backend server connections that the caller may hold over the whole fleet. */
+    /** Maximum number of backend server connections that the caller may use across all proxies. */
     val connectionLimit: Int = DEFAULT_CONNECTION_LIMIT,
-    /** The oldest data that a read of the caller accepts. 0 asks for the newest. */
+    /** Maximum staleness of the caller's reads. 0 requires the latest acknowledged data. */
     val maximumReadAgeMillis: Long = 0,
-    /** Exceptions to [maximumReadAgeMillis] by database. */
+    /** Overrides of [maximumReadAgeMillis] by database. */
     val maximumReadAgeMillisByDatabase: Map<DatabaseName, Long> = emptyMap(),
 ) {
-    /** The oldest data of [database] that a read of the caller accepts. */
+    /** Maximum staleness of the caller's reads of [database]. */
     fun maximumReadAge(database: DatabaseName): Millis =
         Millis(maximumReadAgeMillisByDatabase[database] ?: maximumReadAgeMillis)
 
     companion object {
-        /** Connections of a caller that has no rule. */
+        /** Connection limit of a caller without a rule. */
         const val DEFAULT_CONNECTION_LIMIT: Int = 4
     }
 }
 
-/** The rules that operators add to the inventory. */
+/** The rules that operators configure in addition to the inventory. */
 @Serializable
 data class Rules(val callers: List<CallerRule> = emptyList())
 
-/** Everything that operators decide, as accepted under one generation. */
+/** The inventory and rules of one configuration generation. */
 @Serializable
 data class Configuration(
-    /** Number of the accepted edit; each accepted edit has a higher one. 0 means that nothing was loaded yet. */
+    /** Version number, increased by each accepted edit. 0 means that no configuration was loaded yet. */
     val generation: Long = 0,
     val inventory: Inventory = Inventory(),
     val rules: Rules = Rules(),
--- a/core/src/main/kotlin/dev/hibiscusreach/core/model/Names.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/model/Names.kt
@@ -42,7 +42,7 @@
     override fun toString(): String = value
 }
 
-/** Identifier that a caller gives to a request; the idempotency key of a write. */
+/** Request identifier chosen by the caller; for writes it is the idempotency key. */
 @Serializable
 @JvmInline
 value class RequestIdentifier(val value: String) {
--- a/core/src/main/kotlin/dev/hibiscusreach/core/model/NodeIdentity.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/model/NodeIdentity.kt
@@ -3,8 +3,8 @@
 import kotlinx.serialization.Serializable
 
 /**
- * Identity of one run of a proxy process. A restart at the same peer endpoint has another incarnation, so that
- * the two runs are told apart.
+ * Identity of one run of a proxy process. The start time and the nonce differ after a restart at the same peer
+ * endpoint, so peers can distinguish the two runs.
  */
 @Serializable
 data class NodeIdentity(
--- a/core/src/main/kotlin/dev/hibiscusreach/core/model/Position.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/model/Position.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.Serializable
 
-/** Number of a primary's period of office; each promotion has a higher one. */
+/** Term number of a primary, increased by each promotion. */
 @Serializable
 @JvmInline
 value class Term(val number: Long) : Comparable<Term> {
@@ -14,8 +14,8 @@
 }
 
 /**
- * Position of an entry in a database's log: the term in which it was written and its index. A server whose last entry
- * is not before a position holds everything that was acknowledged up to that position.
+ * Position of an entry in a database's log: the term in which it was written and its index, ordered by term first.
+ * A server whose last entry is at or after a position has all writes that were acknowledged up to that position.
  */
 @Serializable
 data class Position(val term: Term, val index: Long) : Comparable<Position> {
--- a/core/src/main/kotlin/dev/hibiscusreach/core/model/Request.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/model/Request.kt
@@ -2,11 +2,11 @@
 
 import kotlinx.serialization.Serializable
 
-/** One statement in the language of the database, opaque to the proxy. */
+/** One statement in the query language of the database; the proxy does not parse it. */
 @Serializable
 data class Statement(val text: String, val parameters: List<String> = emptyList())
 
-/** What a statement returned. */
+/** Rows returned and number of rows changed by a statement. */
 @Serializable
 data class StatementResult(val rows: List<List<String>> = emptyList(), val changedRows: Int = 0)
 
@@ -14,7 +14,7 @@
 @Serializable
 enum class Access { READ, WRITE }
 
-/** What a caller asks for, already checked for form. */
+/** Syntactically valid content of a caller's request. */
 @Serializable
 sealed interface RequestBody {
     /** Statements that run as one transaction. */
@@ -22,11 +22,11 @@
     data class Statements(
         val statements: List<Statement>,
         val access: Access,
-        /** Whether running the request twice does no harm. */
+        /** Whether the request is safe to run more than once. */
         val repeatable: Boolean = false,
         /** Creation time by the caller's clock, in milliseconds since the epoch. Required unless [repeatable]. */
         val createdAtMillis: Long? = null,
-        /** Tightens the age that the caller's rule accepts. */
+        /** Maximum staleness of the read, if lower than that of the caller's rule. */
         val maximumAgeMillis: Long? = null,
     ) : RequestBody
 
@@ -38,7 +38,7 @@
     @Serializable
     data class TransactionStatements(val transaction: String, val statements: List<Statement>) : RequestBody
 
-    /** Commits an interactive transaction under the request's identifier. */
+    /** Commits an interactive transaction, with the request's identifier as the idempotency key. */
     @Serializable
     data class CommitTransaction(val transaction: String, val createdAtMillis: Long) : RequestBody
 
@@ -46,7 +46,7 @@
     @Serializable
     data class RollbackTransaction(val transaction: String) : RequestBody
 
-    /** Asks whether the request with the given identifier ran, and makes sure that it never will if it did not. */
+    /** Asks whether the request with the given identifier ran; if it did not, prevents it from ever running. */
     @Serializable
     data class ResolveOutcome(val requestIdentifier: RequestIdentifier) : RequestBody
 }
@@ -58,7 +58,7 @@
     val caller: CallerName,
     val database: DatabaseName,
     val session: SessionToken,
-    /** Time that the caller gives for an answer, counted from arrival. */
+    /** Time limit for the answer, counted from the request's arrival at the proxy. */
     val deadline: Millis,
     val body: RequestBody,
 )
@@ -66,7 +66,7 @@
 /** The answer to a [CallerRequest]. */
 @Serializable
 sealed interface CallerAnswer {
-    /** The request ran and these are its whole results. */
+    /** The request ran; contains its complete results. */
     @Serializable
     data class Completed(
         val results: List<StatementResult>,
@@ -75,9 +75,9 @@
         val position: Position? = null,
         /** Identifier of the transaction that was opened. */
         val transaction: String? = null,
-        /** Whether the answer comes from the idempotency record of an earlier run. */
+        /** Whether the results come from the idempotency record of an earlier execution. */
         val replayed: Boolean = false,
-        /** Upper bound of the age of the data that was read. */
+        /** Upper bound of the staleness of the data that was read. */
         val ageMillis: Long? = null,
     ) : CallerAnswer
 
--- a/core/src/main/kotlin/dev/hibiscusreach/core/model/SessionToken.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/model/SessionToken.kt
@@ -2,17 +2,17 @@
 
 import kotlinx.serialization.Serializable
 
-/** The positions that a session has seen, by database. Reads of the session must not be older than these. */
+/** The highest position that a session has observed of each database. The session's reads must not be older. */
 @Serializable
 data class SessionToken(val positions: Map<DatabaseName, Position> = emptyMap()) {
-    /** The position that a read of [database] must reach. */
+    /** The minimum position that a server must have applied to serve a read of [database]. */
     fun positionOf(database: DatabaseName): Position = positions[database] ?: Position.ORIGIN
 
-    /** This token with [position] of [database] included. */
+    /** A token that is raised to [position] for [database], or this token if it is already there. */
     fun including(database: DatabaseName, position: Position): SessionToken =
         if (position <= positionOf(database)) this else SessionToken(positions + (database to position))
 
-    /** The token that has seen what both tokens have seen. */
+    /** A token with the higher position of both tokens for each database. */
     fun merge(other: SessionToken): SessionToken =
         other.positions.entries.fold(this) { token, (database, position) -> token.including(database, position) }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/model/Time.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/model/Time.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.Serializable
 
-/** Milliseconds of this process's monotonic clock. Never compared with times of another process. */
+/** Milliseconds of this process's monotonic clock. Not comparable with times of another process. */
 @Serializable
 @JvmInline
 value class MonotonicTime(val millis: Long) : Comparable<MonotonicTime> {
@@ -30,7 +30,7 @@
     /** The difference of two durations. */
     operator fun minus(other: Millis): Millis = Millis(value - other.value)
 
-    /** The duration [factor] times. */
+    /** The duration multiplied by [factor]. */
     operator fun times(factor: Int): Millis = Millis(value * factor)
 
     override fun toString(): String = "${value}ms"
--- a/core/src/main/kotlin/dev/hibiscusreach/core/reducer/ProxyReducer.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/reducer/ProxyReducer.kt
@@ -10,12 +10,12 @@
 import dev.hibiscusreach.core.pool.PoolsPart
 import dev.hibiscusreach.core.request.RequestsPart
 
-/** The pure reducer of a proxy: all decisions are made here, and nothing is done but returning state and effects. */
+/** The reducer of a proxy: a pure function that makes all decisions and returns the new state and effects. */
 class ProxyReducer(
     private val parts: List<ReducerPart> =
         listOf(MembershipPart(), ConfigurationPart(), GroupsPart(), PoolsPart(), RequestsPart()),
 ) {
-    /** Lets every part handle the event, then the signals that follow from it, until none is left. */
+    /** Passes the event, and then all signals that it causes, to every part until no signal is pending. */
     fun reduce(state: ProxyState, timedEvent: TimedEvent): Transition {
         val context =
             StepContext(
@@ -24,14 +24,14 @@
                 random = timedEvent.random,
             )
         val pending = ArrayDeque<Event>()
-        // A pause is handled before the event, so that nothing is done with connections that were idle for too long.
+        // A detected pause is handled before the event, so that connections that were idle for too long are not used.
         PauseDetection.detect(state, context)?.let(pending::addLast)
         pending.addLast(timedEvent.event)
         val effects = mutableListOf<Effect>()
         var current = state
         var handled = 0
         while (pending.isNotEmpty()) {
-            check(handled < MAXIMUM_SIGNALS) { "signals do not come to an end after ${timedEvent.event}" }
+            check(handled < MAXIMUM_SIGNALS) { "signal processing did not terminate after ${timedEvent.event}" }
             handled++
             val event = pending.removeFirst()
             for (part in parts) {
@@ -45,7 +45,7 @@
     }
 
     private companion object {
-        /** More signals than one event of the largest inventory leads to; reaching it is a defect. */
+        /** Above the number of signals that one event causes with the largest inventory; exceeding it is a defect. */
         const val MAXIMUM_SIGNALS = 100_000
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/reducer/ProxySettings.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/reducer/ProxySettings.kt
@@ -7,7 +7,7 @@
 import dev.hibiscusreach.core.model.milliseconds
 import dev.hibiscusreach.core.model.seconds
 
-/** What the decisions of one process depend on besides the configuration. */
+/** Local settings of one process, in addition to the shared configuration. */
 data class ProxySettings(
     val self: NodeIdentity,
     val failureDomain: FailureDomainName,
@@ -29,7 +29,7 @@
     val watchWait: Millis = 25.seconds,
     val platformTimeout: Millis = 2.seconds,
     val hostListPeriod: Millis = 10.seconds,
-    /** A timer that fires this much too late means that the process was paused. */
+    /** A timer that fires late by more than this indicates that the process was paused. */
     val pauseThreshold: Millis = 2.seconds,
 )
 
@@ -77,7 +77,7 @@
     val drainLimit: Millis = 10.seconds,
 )
 
-/** One hour below the 24 hours for which databases keep idempotency records. */
+/** One hour less than the 24 hours for which databases keep idempotency records. */
 private const val REQUEST_RETENTION_SECONDS = 23 * 60 * 60
 
 private const val CLOCK_TOLERANCE_SECONDS = 5 * 60
--- a/core/src/main/kotlin/dev/hibiscusreach/core/reducer/RendezvousHash.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/reducer/RendezvousHash.kt
@@ -23,7 +23,7 @@
     private fun hash(text: String): Long =
         text.fold(FNV_OFFSET) { hash, character -> (hash xor character.code.toLong()) * FNV_PRIME }
 
-    // The multiplicative hash alone leaves similar addresses in similar order; the finalizer spreads them.
+    // FNV-1a alone ranks similar addresses in similar order; the 64-bit finalizer of MurmurHash3 decorrelates them.
     private fun finalize64(hash: Long): Long {
         val first = (hash xor (hash ushr FINALIZER_SHIFT)) * FINALIZER_MULTIPLIER_1
         val second = (first xor (first ushr FINALIZER_SHIFT)) * FINALIZER_MULTIPLIER_2
--- a/core/src/test/kotlin/dev/hibiscusreach/core/model/SessionTokenTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/model/SessionTokenTest.kt
@@ -8,7 +8,7 @@
     private val jobs = DatabaseName("jobs")
     private val orders = DatabaseName("orders")
 
-    // Guards against a session that writes through two proxies and loses sight of one of the writes.
+    // A merge that dropped a position would let a session that wrote through two proxies miss one of its writes.
     @Test
     fun `merging two tokens keeps the highest position of each database`() {
         val first = SessionToken(mapOf(jobs to position(term = 1, index = 10), orders to position(term = 2, index = 1)))
