--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/SessionReducer.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/SessionReducer.kt
@@ -5,18 +5,18 @@
 import dev.hibiscusreach.sessions.event.SessionEvent
 import dev.hibiscusreach.sessions.event.TimedSessionEvent
 import dev.hibiscusreach.sessions.event.TimerSubject
-import dev.hibiscusreach.sessions.part.Answers
-import dev.hibiscusreach.sessions.part.Arrivals
-import dev.hibiscusreach.sessions.part.Deadlines
-import dev.hibiscusreach.sessions.part.Draining
 import dev.hibiscusreach.sessions.part.FleetEvents
-import dev.hibiscusreach.sessions.part.GroupReviews
-import dev.hibiscusreach.sessions.part.Leases
-import dev.hibiscusreach.sessions.part.Losses
-import dev.hibiscusreach.sessions.part.Members
-import dev.hibiscusreach.sessions.part.Servers
+import dev.hibiscusreach.sessions.part.GroupMonitoring
+import dev.hibiscusreach.sessions.part.LeaseRenewal
+import dev.hibiscusreach.sessions.part.PeerMonitoring
+import dev.hibiscusreach.sessions.part.Reduction
+import dev.hibiscusreach.sessions.part.ServerAnswers
+import dev.hibiscusreach.sessions.part.ServerConnectionEvents
+import dev.hibiscusreach.sessions.part.ServerRegistry
+import dev.hibiscusreach.sessions.part.SessionDraining
 import dev.hibiscusreach.sessions.part.SessionLifecycle
-import dev.hibiscusreach.sessions.part.Turn
+import dev.hibiscusreach.sessions.part.StatementArrivals
+import dev.hibiscusreach.sessions.part.StatementDeadlines
 import dev.hibiscusreach.sessions.state.SessionProxyState
 
 /** What the reduction of an event leads to. */
@@ -26,48 +26,48 @@
 object SessionReducer {
     /** Reduces [timed] in [state]. */
     fun reduce(state: SessionProxyState, timed: TimedSessionEvent): SessionTransition {
-        val turn = Turn(state, timed.now)
-        handle(turn, timed.event)
-        return SessionTransition(turn.state, turn.effects)
+        val reduction = Reduction(state, timed.now)
+        handle(reduction, timed.event)
+        return SessionTransition(reduction.state, reduction.effects)
     }
 
-    private fun handle(turn: Turn, event: SessionEvent) =
+    private fun handle(reduction: Reduction, event: SessionEvent) =
         when (event) {
-            SessionEvent.Started -> start(turn)
-            is SessionEvent.SessionRequested -> SessionLifecycle.open(turn, event)
-            is SessionEvent.StatementArrived -> Arrivals.statement(turn, event)
-            is SessionEvent.SessionEnded -> SessionLifecycle.end(turn, event)
-            is SessionEvent.ConnectionOpened -> Losses.opened(turn, event)
-            is SessionEvent.ConnectionRefused -> Losses.refused(turn, event)
-            is SessionEvent.ConnectionLost -> Losses.lost(turn, event)
-            is SessionEvent.ServerAnswered -> Answers.handle(turn, event)
-            is SessionEvent.ConfigurationRead -> Servers.configure(turn, event.configuration)
-            is SessionEvent.ServersRead -> Servers.read(turn, event)
-            is SessionEvent.TimerFired -> fire(turn, event.subject)
-            SessionEvent.StopRequested -> Draining.begin(turn)
-            else -> FleetEvents.handle(turn, event)
+            SessionEvent.Started -> start(reduction)
+            is SessionEvent.SessionRequested -> SessionLifecycle.open(reduction, event)
+            is SessionEvent.StatementArrived -> StatementArrivals.statement(reduction, event)
+            is SessionEvent.SessionEnded -> SessionLifecycle.end(reduction, event)
+            is SessionEvent.ConnectionOpened -> ServerConnectionEvents.opened(reduction, event)
+            is SessionEvent.ConnectionRefused -> ServerConnectionEvents.refused(reduction, event)
+            is SessionEvent.ConnectionLost -> ServerConnectionEvents.lost(reduction, event)
+            is SessionEvent.ServerAnswered -> ServerAnswers.handle(reduction, event)
+            is SessionEvent.ConfigurationRead -> ServerRegistry.configure(reduction, event.configuration)
+            is SessionEvent.ServersRead -> ServerRegistry.read(reduction, event)
+            is SessionEvent.TimerFired -> fire(reduction, event.subject)
+            SessionEvent.StopRequested -> SessionDraining.begin(reduction)
+            else -> FleetEvents.handle(reduction, event)
         }
 
-    private fun start(turn: Turn) {
-        TimerSubject.entries.forEach { fire(turn, it) }
+    private fun start(reduction: Reduction) {
+        TimerSubject.entries.forEach { fire(reduction, it) }
     }
 
-    private fun fire(turn: Turn, subject: TimerSubject) =
+    private fun fire(reduction: Reduction, subject: TimerSubject) =
         when (subject) {
             TimerSubject.REQUESTS -> {
-                subscribe(turn, subject, turn.settings.requests.review)
-                Deadlines.review(turn)
-                Draining.review(turn)
+                startTimer(reduction, subject, reduction.settings.statements.checkPeriod)
+                StatementDeadlines.review(reduction)
+                SessionDraining.review(reduction)
             }
             TimerSubject.GROUPS -> {
-                subscribe(turn, subject, turn.settings.changes.review)
-                Servers.review(turn)
-                Members.review(turn)
-                GroupReviews.review(turn)
+                startTimer(reduction, subject, reduction.settings.changes.checkPeriod)
+                ServerRegistry.review(reduction)
+                PeerMonitoring.review(reduction)
+                GroupMonitoring.review(reduction)
             }
-            TimerSubject.LEASE -> Leases.renew(turn)
+            TimerSubject.LEASE -> LeaseRenewal.renew(reduction)
         }
 
-    private fun subscribe(turn: Turn, subject: TimerSubject, delay: Millis) =
-        turn.emit(SessionEffect.StartTimer(subject, delay))
+    private fun startTimer(reduction: Reduction, subject: TimerSubject, delay: Millis) =
+        reduction.emit(SessionEffect.StartTimer(subject, delay))
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/event/SessionEvent.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/event/SessionEvent.kt
@@ -78,7 +78,7 @@
     data class FleetRead(val sentAt: MonotonicTime, val records: Map<FleetKey, StoredRecord>) : SessionEvent
 
     /** The fleet's records could not be read. */
-    data class FleetUnreadable(val reason: String) : SessionEvent
+    data class FleetReadFailed(val reason: String) : SessionEvent
 
     /** A write of a fleet record has ended. */
     data class FleetWritten(val key: FleetKey, val outcome: WriteOutcome) : SessionEvent
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/model/CallerStatement.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/model/CallerStatement.kt
@@ -17,7 +17,7 @@
     data class SetValue(val name: String, val value: String) : CallerStatement
 
     /** Gives [shape] a name within the session. */
-    data class Prepare(val name: String, val shape: PreparedShape) : CallerStatement
+    data class Prepare(val name: String, val prepared: PreparedStatement) : CallerStatement
 
     /** Forgets a prepared name. */
     data class Deallocate(val name: String) : CallerStatement
@@ -33,4 +33,4 @@
 }
 
 /** What a prepared name stands for. */
-data class PreparedShape(val access: Access, val shape: String)
+data class PreparedStatement(val access: Access, val text: String)
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/model/Routing.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/model/RoutingConfiguration.kt
@@ -9,10 +9,10 @@
     data object Primary : Consistency
 
     /** Reads see every commit that was acknowledged more than [maximumAge] before. */
-    data class Bounded(val maximumAge: Millis) : Consistency
+    data class BoundedStaleness(val maximumAge: Millis) : Consistency
 
-    /** As [Bounded], and reads see every commit of their own session. */
-    data class OwnWrites(val maximumAge: Millis) : Consistency
+    /** As [BoundedStaleness], and reads see every commit of their own session. */
+    data class ReadYourWrites(val maximumAge: Millis) : Consistency
 }
 
 /** Name of a group of one primary and its replicas. */
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/model/ServerStatement.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/model/ServerStatement.kt
@@ -11,7 +11,7 @@
     data class SetValue(val name: String, val value: String) : ServerStatement
 
     /** Prepares a shape under a name that is derived from it, so that sessions can share it. */
-    data class Prepare(val shape: PreparedShape) : ServerStatement
+    data class Prepare(val prepared: PreparedStatement) : ServerStatement
 
     /** Opens a transaction at a server that has applied [minimumPosition]. */
     data class Begin(val readOnly: Boolean, val minimumPosition: Position?) : ServerStatement
@@ -31,7 +31,7 @@
     /** A caller's execution of a prepared shape. */
     data class Execute(
         val identifier: String,
-        val shape: PreparedShape,
+        val prepared: PreparedStatement,
         val arguments: String,
         val minimumPosition: Position?,
     ) : ServerStatement
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/Hopeless.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/AdmissionControl.kt
@@ -7,17 +7,17 @@
 import dev.hibiscusreach.sessions.state.Session
 
 /** Recognizes statements that cannot be served in time, so that they are refused at once. */
-internal object Hopeless {
+internal object AdmissionControl {
     /** Why [pending] should be refused now; null if it may wait. */
-    fun reason(turn: Turn, session: Session, pending: PendingStatement): Pair<ErrorKind, String>? {
+    fun reason(turn: Reduction, session: Session, pending: PendingStatement): Pair<ErrorKind, String>? {
         val group = turn.group(pending.route.group)
         val needsPrimary = ServerSelection.needsPrimary(session, pending)
         return when {
             pending.route.group !in turn.state.configuration?.groups.orEmpty() ->
                 ErrorKind.NO_CONFIGURATION to "the group is not configured"
-            needsPrimary && !Primaries.leaseHolds(turn) && turn.state.fleet.lost ->
+            needsPrimary && !PrimaryStatus.leaseHolds(turn) && turn.state.fleet.storeLost ->
                 ErrorKind.NO_PRIMARY to "the lease on the primary has expired and cannot be renewed"
-            needsPrimary && isDown(turn, group.record?.primary) && !Primaries.changing(group) ->
+            needsPrimary && isDown(turn, group.record?.primary) && !PrimaryStatus.changing(group) ->
                 ErrorKind.NO_PRIMARY to "the primary does not answer"
             expectedWait(turn, pending) > limit(turn, pending) ->
                 ErrorKind.OVERLOADED to "too many statements wait for the group"
@@ -25,19 +25,19 @@
         }
     }
 
-    private fun isDown(turn: Turn, primary: ServerName?): Boolean =
-        primary != null && HealthNotes.isSilent(turn, primary)
+    private fun isDown(turn: Reduction, primary: ServerName?): Boolean =
+        primary != null && ServerHealthTracking.isSilent(turn, primary)
 
     // Every waiting statement before this one takes its share of the group's connections.
-    private fun expectedWait(turn: Turn, pending: PendingStatement): Millis {
+    private fun expectedWait(turn: Reduction, pending: PendingStatement): Millis {
         val servers = turn.servers(pending.route.group)
-        val connections = servers.sumOf { Pools.limit(turn, it) }
+        val connections = servers.sumOf { ConnectionPools.limit(turn, it) }
         val latencies = servers.mapNotNull { turn.health(it.name).latency?.value }
         val latency = if (latencies.isEmpty()) turn.settings.connections.expectedLatency.value else latencies.max()
         val ahead = turn.state.waiting[pending.route.group]?.size ?: 0
         return Millis(ahead * latency / maxOf(1, connections))
     }
 
-    private fun limit(turn: Turn, pending: PendingStatement): Millis =
+    private fun limit(turn: Reduction, pending: PendingStatement): Millis =
         pending.waitsUntil(turn, changing = false) - pending.arrivedAt
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/AbandonedChanges.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ChangeTakeover.kt
@@ -13,35 +13,35 @@
 import dev.hibiscusreach.sessions.state.GroupView
 
 /** Watches changes that other proxies carry out, and continues those that they have left. */
-internal object AbandonedChanges {
+internal object ChangeTakeover {
     /** Asks the proxy that changes the primary whether it goes on, and takes the change over if it does not. */
-    fun review(turn: Turn, group: GroupView) {
+    fun review(turn: Reduction, group: GroupView) {
         val changes = turn.settings.changes
-        val rank = Ranks.own(turn, group.name) ?: return
+        val rank = ProxyRanking.own(turn, group.name) ?: return
         val changer = changer(turn, group)
         val adoptedAt = group.adoptedAt ?: turn.now
         val seenAt = group.changerSeenAt?.takeIf { changer != null && it > adoptedAt } ?: adoptedAt
         val askedAt = group.changerAskedAt?.takeIf { it > adoptedAt } ?: adoptedAt
-        val patience = if (changer == null) Millis(0) else changes.takeover
+        val patience = if (changer == null) Millis(0) else changes.takeoverTimeout
         when {
-            turn.state.fleet.lost || turn.state.stoppingSince != null -> Unit
+            turn.state.fleet.storeLost || turn.state.stoppingSince != null -> Unit
             turn.now - seenAt > patience + changes.rankDelay * rank ->
-                Changes.begin(turn, group.name, ChangeReason.ABANDONED)
-            turn.now - askedAt > changes.takeoverCheck -> {
+                PrimaryChanges.begin(turn, group.name, ChangeReason.ABANDONED)
+            turn.now - askedAt > changes.takeoverCheckDelay -> {
                 turn.put(group.copy(changerAskedAt = turn.now))
                 changer?.let { turn.emit(SessionEffect.AskPeer(it, PeerRequest.Ping)) }
-                Leases.read(turn)
+                LeaseRenewal.read(turn)
             }
         }
     }
 
     /** Handles the answer to the question whether the proxy that changes a primary goes on. */
-    fun changerAnswered(turn: Turn, event: SessionEvent.PeerAnswered) {
+    fun changerAnswered(turn: Reduction, event: SessionEvent.PeerAnswered) {
         turn.state.groups.values
             .filter { it.change == null && changer(turn, it) == event.peer }
             .forEach { group ->
                 when (val outcome = event.outcome) {
-                    PeerOutcome.NotRunning -> Changes.begin(turn, group.name, ChangeReason.ABANDONED)
+                    PeerOutcome.NotRunning -> PrimaryChanges.begin(turn, group.name, ChangeReason.ABANDONED)
                     PeerOutcome.Silent -> Unit
                     is PeerOutcome.Answered ->
                         if (outcome.answer is PeerAnswer.Done) turn.put(group.copy(changerSeenAt = turn.now))
@@ -51,7 +51,7 @@
 
     // Null once the run that began the change has ended: a later run on the same host answers at the same endpoint, but
     // knows nothing of the change.
-    private fun changer(turn: Turn, group: GroupView): Endpoint? =
+    private fun changer(turn: Reduction, group: GroupView): Endpoint? =
         group.record?.changedBy?.let { changer ->
             val registered = turn.state.fleet.records[FleetKey.proxy(changer.node)]?.record as? FleetRecord.Proxy
             registered?.takeIf { it.identity == changer }?.peerEndpoint
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/Pools.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ConnectionPools.kt
@@ -9,18 +9,18 @@
 import kotlinx.collections.immutable.persistentSetOf
 
 /** The connections to servers. */
-internal object Pools {
+internal object ConnectionPools {
     /** More are opened as statements wait. */
     private const val WARM_CONNECTIONS = 1
 
     /** All connections to a server. */
-    fun connections(turn: Turn, server: ServerName): List<ServerConnection> =
+    fun connections(turn: Reduction, server: ServerName): List<ServerConnection> =
         turn.state.pools[server]
             ?.mapNotNull { turn.state.connections[it] }
             .orEmpty()
 
     /** Connections that this proxy may have to [server]: an equal share for each running proxy. */
-    fun limit(turn: Turn, server: RegisteredServer): Int {
+    fun limit(turn: Reduction, server: RegisteredServer): Int {
         val rule = turn.state.configuration?.groups?.get(server.group) ?: return 0
         val proxies = turn.state.fleet.members.size
         val shared = rule.connectionLimit * turn.settings.connections.sharePercent / FULL_PERCENT
@@ -28,20 +28,20 @@
     }
 
     /** Opens a connection unless the limit or a pause forbids it. */
-    fun open(turn: Turn, server: RegisteredServer): Boolean {
+    fun open(turn: Reduction, server: RegisteredServer): Boolean {
         val full = connections(turn, server.name).size >= limit(turn, server)
-        if (full || HealthNotes.isPaused(turn, server.name)) return false
+        if (full || ServerHealthTracking.isPaused(turn, server.name)) return false
         val number = ConnectionNumber(turn.state.nextConnection)
         put(turn, ServerConnection(number, server.name, server.group))
         turn.state = turn.state.copy(nextConnection = turn.state.nextConnection + 1)
-        HealthNotes.asked(turn, server.name)
+        ServerHealthTracking.asked(turn, server.name)
         turn.count(SessionCounter.CONNECTIONS, "opened")
         turn.emit(SessionEffect.OpenConnection(number, server))
         return true
     }
 
     /** Opens the first connections to the primary and to the nearest server of each group, before callers need them. */
-    fun warm(turn: Turn) {
+    fun warm(turn: Reduction) {
         val servers = turn.state.servers.values.map { it.server }.filter { !it.leaving }
         for ((name, members) in servers.groupBy { it.group }) {
             val primary = members.find { it.name == turn.group(name).record?.primary }
@@ -53,8 +53,8 @@
     }
 
     /** Closes connections that have not been needed lately, but for one of each server. */
-    fun trim(turn: Turn) {
-        val limit = turn.settings.connections.spareLimit
+    fun trim(turn: Reduction) {
+        val limit = turn.settings.connections.idleTimeout
         for (server in turn.state.pools.keys) {
             val pool = connections(turn, server)
             val spare = pool.find { it.idle && turn.now - (it.usedAt ?: turn.now) > limit }
@@ -62,7 +62,7 @@
         }
     }
 
-    fun put(turn: Turn, connection: ServerConnection) {
+    fun put(turn: Reduction, connection: ServerConnection) {
         val state = turn.state
         val pool = (state.pools[connection.server] ?: persistentSetOf()).add(connection.number)
         turn.state =
@@ -73,7 +73,7 @@
     }
 
     /** Forgets a connection that is closed. */
-    fun remove(turn: Turn, connection: ServerConnection) {
+    fun remove(turn: Reduction, connection: ServerConnection) {
         val state = turn.state
         val pool = state.pools[connection.server]?.remove(connection.number) ?: persistentSetOf()
         val pools =
@@ -82,7 +82,7 @@
     }
 
     /** Closes a connection; the server rolls back what is open on it. */
-    fun close(turn: Turn, connection: ServerConnection) {
+    fun close(turn: Reduction, connection: ServerConnection) {
         remove(turn, connection)
         turn.count(SessionCounter.CONNECTIONS, "closed")
         turn.emit(SessionEffect.CloseConnection(connection.number))
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/DepartedReplicas.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/DepartedReplicas.kt
@@ -11,7 +11,7 @@
  */
 internal object DepartedReplicas {
     /** Notes that the entry of [server] is missing. */
-    fun missing(turn: Turn, server: RegisteredServer) {
+    fun missing(turn: Reduction, server: RegisteredServer) {
         val group = turn.group(server.group)
         if (group.record != null && group.record.primary != server.name) {
             turn.put(group.copy(departed = group.departed + (server.name to turn.now)))
@@ -19,7 +19,7 @@
     }
 
     /** Notes that [server] is registered. */
-    fun present(turn: Turn, server: RegisteredServer) {
+    fun present(turn: Reduction, server: RegisteredServer) {
         val group = turn.group(server.group)
         if (server.name in group.departed) turn.put(group.copy(departed = group.departed - server.name))
     }
@@ -33,7 +33,7 @@
     }
 
     /** The [record] of an intent to replace the primary, with what its successor has to prove. */
-    fun required(turn: Turn, group: GroupView, record: FleetRecord.Group): FleetRecord.Group {
+    fun required(turn: Reduction, group: GroupView, record: FleetRecord.Group): FleetRecord.Group {
         if (!SuccessorChoice.commitsWaitForReplicas(turn, group)) return record
         val registered = SuccessorChoice.replicas(turn, group).map { it.name }
         val floor = listOfNotNull(record.floor, group.departedFloor).maxOrNull()
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/GroupReviews.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/GroupMonitoring.kt
@@ -11,14 +11,14 @@
 import dev.hibiscusreach.sessions.model.GroupName
 import dev.hibiscusreach.sessions.model.ServerStatement
 import dev.hibiscusreach.sessions.state.GroupView
-import dev.hibiscusreach.sessions.state.Outstanding.Purpose
+import dev.hibiscusreach.sessions.state.OutstandingStatement.Purpose
 
 /** Reviews each group: its first record, its head position, its fence and its primary. */
-internal object GroupReviews {
-    fun review(turn: Turn) {
+internal object GroupMonitoring {
+    fun review(turn: Reduction) {
         val configured = turn.state.configuration?.groups?.keys.orEmpty()
-        if (turn.state.ready) Pools.warm(turn)
-        Pools.trim(turn)
+        if (turn.state.ready) ConnectionPools.warm(turn)
+        ConnectionPools.trim(turn)
         for (name in configured + turn.state.groups.keys) {
             val group = turn.group(name)
             if (group.record == null) firstRecord(turn, group) else inOffice(turn, group)
@@ -26,7 +26,7 @@
     }
 
     /** Handles the status of a server that calls itself the primary of a group without a record. */
-    fun statusOfFirst(turn: Turn, event: SessionEvent.ControlAnswered): Boolean {
+    fun statusOfFirst(turn: Reduction, event: SessionEvent.ControlAnswered): Boolean {
         val server = turn.state.server(event.server)
         val status = event.status
         if (server == null || turn.group(server.group).record != null) return false
@@ -39,8 +39,8 @@
         return true
     }
 
-    private fun firstRecord(turn: Turn, group: GroupView) {
-        val rank = Ranks.own(turn, group.name)
+    private fun firstRecord(turn: Reduction, group: GroupView) {
+        val rank = ProxyRanking.own(turn, group.name)
         val asked = group.statusAskedAt
         when {
             rank == null || turn.state.fleet.readAt == null -> Unit
@@ -49,53 +49,53 @@
                 val delay = turn.settings.changes.rankDelay * rank
                 turn.put(group.copy(statusAskedAt = turn.now + delay))
             }
-            asked == null || turn.now - asked >= turn.settings.changes.pause -> askFirst(turn, group)
+            asked == null || turn.now - asked >= turn.settings.changes.retryPause -> askFirst(turn, group)
         }
     }
 
-    private fun askFirst(turn: Turn, group: GroupView) {
+    private fun askFirst(turn: Reduction, group: GroupView) {
         val primary = turn.servers(group.name).find { it.role == ServerRole.PRIMARY } ?: return
         turn.put(group.copy(statusAskedAt = turn.now))
         turn.emit(SessionEffect.SendControl(primary, ControlRequest.Status))
     }
 
-    private fun inOffice(turn: Turn, group: GroupView) {
+    private fun inOffice(turn: Reduction, group: GroupView) {
         probe(turn, group)
-        Fences.settle(turn, group.name)
-        Suspicions.review(turn, group.name)
-        Changes.review(turn, group.name)
+        PrimaryFencing.settle(turn, group.name)
+        PrimaryFailureDetection.review(turn, group.name)
+        PrimaryChanges.review(turn, group.name)
     }
 
     // A fresh head position lets replicas serve reads with a bound, and shows that the primary answers.
-    private fun probe(turn: Turn, group: GroupView) {
-        val primary = Primaries.usable(turn, group) ?: return
+    private fun probe(turn: Reduction, group: GroupView) {
+        val primary = PrimaryStatus.usable(turn, group) ?: return
         val age = group.heads.lastOrNull()?.let { turn.now - it.sentAt } ?: Millis(Long.MAX_VALUE)
-        if (age < turn.settings.changes.probe) return
-        val connections = Pools.connections(turn, primary)
+        if (age < turn.settings.changes.probePeriod) return
+        val connections = ConnectionPools.connections(turn, primary)
         val probing = connections.any { connection -> connection.outstanding.any { it.purpose == Purpose.PROBE } }
         val idle = connections.find { it.idle }
         when {
             probing -> Unit
-            idle != null -> PoolUse.send(turn, idle, listOf(Purpose.PROBE to ServerStatement.Status))
+            idle != null -> ConnectionCheckout.send(turn, idle, listOf(Purpose.PROBE to ServerStatement.Status))
             connections.all { it.open } -> open(turn, primary)
         }
     }
 
-    private fun open(turn: Turn, primary: ServerName) {
-        turn.state.server(primary)?.let { Pools.open(turn, it) }
+    private fun open(turn: Reduction, primary: ServerName) {
+        turn.state.server(primary)?.let { ConnectionPools.open(turn, it) }
     }
 }
 
 /** Orders the proxies, so that usually one of them acts for a group. */
-internal object Ranks {
+internal object ProxyRanking {
     /** The number of proxies that come before this one for a group; null if this proxy is not registered. */
-    fun own(turn: Turn, group: GroupName): Int? {
+    fun own(turn: Reduction, group: GroupName): Int? {
         val nodes =
             turn.state.fleet
                 .members
                 .values
                 .map { it.identity.node }
                 .sortedBy { (it + group.value).hashCode() }
-        return nodes.indexOf(turn.state.place.identity.node).takeIf { it >= 0 }
+        return nodes.indexOf(turn.state.self.identity.node).takeIf { it >= 0 }
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/GroupRecords.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/GroupRecordAdoption.kt
@@ -6,9 +6,9 @@
 import dev.hibiscusreach.sessions.state.GroupView
 
 /** Takes over the records of groups from the store and from peers. */
-internal object GroupRecords {
+internal object GroupRecordAdoption {
     /** Takes a record over if it is newer than the one in force. */
-    fun adopt(turn: Turn, name: GroupName, record: FleetRecord.Group, revision: Long) {
+    fun adopt(turn: Reduction, name: GroupName, record: FleetRecord.Group, revision: Long) {
         val group = turn.group(name)
         val known = group.record
         val newer =
@@ -32,19 +32,19 @@
         if (record.changedBy == null) inOffice(turn, adopted, record) else changing(turn, adopted, record)
     }
 
-    private fun inOffice(turn: Turn, group: GroupView, record: FleetRecord.Group) {
+    private fun inOffice(turn: Reduction, group: GroupView, record: FleetRecord.Group) {
         val fence = group.fence?.takeIf { it.epoch > record.epoch }
         turn.put(group.copy(fence = fence, change = null))
         // Peers that wait for a confirmation of an older fence need none any more.
-        if (fence == null) Fences.dropWaiting(turn, group)
+        if (fence == null) PrimaryFencing.dropWaiting(turn, group)
         turn.updateHealth(record.primary) { it.copy(notPrimaryAt = null) }
         turn.count(SessionCounter.PRIMARY_CHANGES, "adopted")
-        Dispatch.serveWaiting(turn, group.name)
+        StatementDispatch.serveWaiting(turn, group.name)
     }
 
-    private fun changing(turn: Turn, group: GroupView, record: FleetRecord.Group) {
-        val mine = record.changedBy == turn.state.place.identity
+    private fun changing(turn: Reduction, group: GroupView, record: FleetRecord.Group) {
+        val mine = record.changedBy == turn.state.self.identity
         if (!mine) turn.put(group.copy(change = null))
-        Fences.raise(turn, group.name, record.epoch, planned = false)
+        PrimaryFencing.raise(turn, group.name, record.epoch, planned = false)
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/Leases.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/LeaseRenewal.kt
@@ -15,14 +15,14 @@
  * Keeps this proxy's record in the store and its lease on the group records. A lease begins when a read is sent that
  * shows the own record: a change of primary that is recorded later waits for this proxy's consent or the lease's end.
  */
-internal object Leases {
-    fun renew(turn: Turn) {
-        turn.emit(SessionEffect.StartTimer(TimerSubject.LEASE, turn.settings.leases.renewal))
+internal object LeaseRenewal {
+    fun renew(turn: Reduction) {
+        turn.emit(SessionEffect.StartTimer(TimerSubject.LEASE, turn.settings.leases.renewalPeriod))
         read(turn)
     }
 
     /** Reads the fleet's records, once more if a read is in flight that may not show the latest. */
-    fun read(turn: Turn) {
+    fun read(turn: Reduction) {
         val fleet = turn.state.fleet
         if (fleet.reading) {
             turn.state = turn.state.copy(fleet = fleet.copy(readAgain = true))
@@ -32,20 +32,20 @@
         }
     }
 
-    fun unreadable(turn: Turn, event: SessionEvent.FleetUnreadable) {
+    fun unreadable(turn: Reduction, event: SessionEvent.FleetReadFailed) {
         val fleet = turn.state.fleet
-        if (!fleet.lost) turn.log("store lost", "reason" to event.reason, level = LogLevel.WARN)
-        turn.state = turn.state.copy(fleet = fleet.copy(reading = false, readAgain = false, lost = true))
-        Relays.refuse(turn)
-        Relays.ask(turn)
-        val retry = turn.settings.leases.retry
-        turn.emit(SessionEffect.StartTimer(TimerSubject.LEASE, if (fleet.lost) retry * 2 else retry))
+        if (!fleet.storeLost) turn.log("store lost", "reason" to event.reason, level = LogLevel.WARN)
+        turn.state = turn.state.copy(fleet = fleet.copy(reading = false, readAgain = false, storeLost = true))
+        FleetReadRelay.refuse(turn)
+        FleetReadRelay.ask(turn)
+        val retry = turn.settings.leases.retryPause
+        turn.emit(SessionEffect.StartTimer(TimerSubject.LEASE, if (fleet.storeLost) retry * 2 else retry))
     }
 
-    fun read(turn: Turn, event: SessionEvent.FleetRead) {
+    fun read(turn: Reduction, event: SessionEvent.FleetRead) {
         val fleet = turn.state.fleet
-        if (fleet.lost) turn.log("store regained")
-        val own = event.records[FleetKey.proxy(turn.state.place.identity.node)]
+        if (fleet.storeLost) turn.log("store regained")
+        val own = event.records[FleetKey.proxy(turn.state.self.identity.node)]
         val registered = isRegistered(turn, event.records)
         if (registered && !fleet.registered) turn.log("proxy registered", "revision" to own?.revision)
         val promoterMoved = event.records[FleetKey.PROMOTER]?.revision != fleet.records[FleetKey.PROMOTER]?.revision
@@ -59,7 +59,7 @@
                     registered = registered,
                     reading = false,
                     readAgain = false,
-                    lost = false,
+                    storeLost = false,
                     promoterSeenAt = if (promoterMoved) turn.now else fleet.promoterSeenAt ?: turn.now,
                     expelledSince = expelledSince(turn, event.records),
                 ),
@@ -67,12 +67,12 @@
         if (!registered && turn.state.stoppingSince == null) register(turn, own)
         adopt(turn, event.records)
         ChangeFencing.membersRead(turn, event.sentAt)
-        Relays.serve(turn, event.sentAt)
+        FleetReadRelay.serve(turn, event.sentAt)
         if (fleet.readAgain) read(turn)
     }
 
     /** Records the outcome of a write to the own record or the promoter's record. */
-    fun written(turn: Turn, key: FleetKey, outcome: WriteOutcome) {
+    fun written(turn: Reduction, key: FleetKey, outcome: WriteOutcome) {
         if (outcome is WriteOutcome.Written && key == FleetKey.PROMOTER) {
             val fleet = turn.state.fleet
             val record = fleet.records[key]?.record ?: FleetRecord.Promoter(holder = null)
@@ -83,29 +83,29 @@
         }
     }
 
-    private fun expelledSince(turn: Turn, records: Map<FleetKey, StoredRecord>): Map<FleetKey, MonotonicTime> =
+    private fun expelledSince(turn: Reduction, records: Map<FleetKey, StoredRecord>): Map<FleetKey, MonotonicTime> =
         records
             .filterValues { (it.record as? FleetRecord.Proxy)?.expelled ?: false }
             .mapValues { (key, _) -> turn.state.fleet.expelledSince[key] ?: turn.now }
 
     /** Whether [records] show that this run of the proxy may use primaries. */
-    fun isRegistered(turn: Turn, records: Map<FleetKey, StoredRecord>): Boolean {
-        val own = records[FleetKey.proxy(turn.state.place.identity.node)]?.record as? FleetRecord.Proxy
-        return own?.identity == turn.state.place.identity && !own.expelled
+    fun isRegistered(turn: Reduction, records: Map<FleetKey, StoredRecord>): Boolean {
+        val own = records[FleetKey.proxy(turn.state.self.identity.node)]?.record as? FleetRecord.Proxy
+        return own?.identity == turn.state.self.identity && !own.expelled
     }
 
-    private fun register(turn: Turn, present: StoredRecord?) {
-        val place = turn.state.place
+    private fun register(turn: Reduction, present: StoredRecord?) {
+        val place = turn.state.self
         val record = FleetRecord.Proxy(place.identity, place.peerEndpoint)
         val key = FleetKey.proxy(place.identity.node)
         turn.emit(SessionEffect.WriteFleet(key, record, present?.revision))
     }
 
     /** Takes the groups' records over. */
-    fun adopt(turn: Turn, records: Map<FleetKey, StoredRecord>) {
+    fun adopt(turn: Reduction, records: Map<FleetKey, StoredRecord>) {
         for (stored in records.values) {
             val record = stored.record as? FleetRecord.Group ?: continue
-            GroupRecords.adopt(turn, GroupName(record.group), record, stored.revision)
+            GroupRecordAdoption.adopt(turn, GroupName(record.group), record, stored.revision)
         }
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/Changes.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/PrimaryChanges.kt
@@ -16,12 +16,12 @@
  * stopped using the primary, or its lease ends; then the successor is chosen, promoted and recorded. A proxy that
  * continues a change of another one starts with an intent of its own, so that the earlier one stops.
  */
-internal object Changes {
+internal object PrimaryChanges {
     /** Records the intent to replace the group's primary. */
-    fun begin(turn: Turn, name: GroupName, reason: ChangeReason) {
+    fun begin(turn: Reduction, name: GroupName, reason: ChangeReason) {
         val group = turn.group(name)
         val record = group.record ?: return
-        val next = record.copy(epoch = record.epoch + 1, changedBy = turn.state.place.identity)
+        val next = record.copy(epoch = record.epoch + 1, changedBy = turn.state.self.identity)
         val intent = DepartedReplicas.required(turn, group, next)
         turn.log(
             "primary change begins",
@@ -39,66 +39,66 @@
         turn.emit(SessionEffect.WriteFleet(FleetKey.group(name), intent, group.revision))
     }
 
-    fun written(turn: Turn, name: GroupName, outcome: WriteOutcome) {
+    fun written(turn: Reduction, name: GroupName, outcome: WriteOutcome) {
         val group = turn.group(name)
         val change = group.change
         when {
-            outcome !is WriteOutcome.Written -> Leases.read(turn)
+            outcome !is WriteOutcome.Written -> LeaseRenewal.read(turn)
             change?.phase == ChangePhase.RECORDING -> recorded(turn, group, change, outcome.revision)
             change?.phase == ChangePhase.PUBLISHING -> published(turn, group, change, outcome.revision)
             // The first record of a group, or a write that an earlier change has left behind.
-            else -> Leases.read(turn)
+            else -> LeaseRenewal.read(turn)
         }
     }
 
     /** Advances the group's change, or continues one that another proxy has left. */
-    fun review(turn: Turn, name: GroupName) {
+    fun review(turn: Reduction, name: GroupName) {
         val group = turn.group(name)
         val record = group.record ?: return
         val change = group.change
         when {
-            change == null && record.changedBy == turn.state.place.identity -> resume(turn, group)
-            change == null && record.changedBy != null -> AbandonedChanges.review(turn, group)
+            change == null && record.changedBy == turn.state.self.identity -> resume(turn, group)
+            change == null && record.changedBy != null -> ChangeTakeover.review(turn, group)
             change == null -> Unit
             change.phase == ChangePhase.RECORDING -> reviewRecording(turn, group, change)
             change.phase == ChangePhase.FENCING -> ChangeFencing.review(turn, group, change)
-            else -> Successions.review(turn, group, change)
+            else -> SuccessorPromotion.review(turn, group, change)
         }
     }
 
     /** Moves a change to [phase]. */
-    fun enter(turn: Turn, group: GroupView, change: PrimaryChange, phase: ChangePhase): GroupView {
+    fun enter(turn: Reduction, group: GroupView, change: PrimaryChange, phase: ChangePhase): GroupView {
         turn.log("primary change", "group" to group.name, "phase" to phase.name, "epoch" to group.record?.epoch)
-        val next = group.copy(change = change.copy(phase = phase, phaseSince = turn.now, repeatedAt = null))
+        val next = group.copy(change = change.copy(phase = phase, phaseSince = turn.now, requestsSentAt = null))
         turn.put(next)
         return next
     }
 
-    private fun recorded(turn: Turn, group: GroupView, change: PrimaryChange, revision: Long) {
+    private fun recorded(turn: Reduction, group: GroupView, change: PrimaryChange, revision: Long) {
         val intent = change.intent ?: return
         turn.put(group.copy(record = intent, revision = revision, adoptedAt = turn.now))
         ChangeFencing.start(turn, turn.group(group.name), change)
     }
 
-    private fun resume(turn: Turn, group: GroupView) =
+    private fun resume(turn: Reduction, group: GroupView) =
         ChangeFencing.start(turn, group, PrimaryChange(ChangeReason.ABANDONED, ChangePhase.RECORDING, turn.now))
 
-    private fun reviewRecording(turn: Turn, group: GroupView, change: PrimaryChange) {
-        if (turn.now - change.phaseSince < turn.settings.changes.takeover) return
-        turn.put(group.copy(change = null, changeAfter = turn.now + turn.settings.changes.pause))
-        Leases.read(turn)
+    private fun reviewRecording(turn: Reduction, group: GroupView, change: PrimaryChange) {
+        if (turn.now - change.phaseSince < turn.settings.changes.takeoverTimeout) return
+        turn.put(group.copy(change = null, changeAfter = turn.now + turn.settings.changes.retryPause))
+        LeaseRenewal.read(turn)
     }
 
-    private fun published(turn: Turn, group: GroupView, change: PrimaryChange, revision: Long) {
+    private fun published(turn: Reduction, group: GroupView, change: PrimaryChange, revision: Long) {
         val record = change.published ?: return
-        GroupRecords.adopt(turn, group.name, record, revision)
+        GroupRecordAdoption.adopt(turn, group.name, record, revision)
         turn.count(SessionCounter.PRIMARY_CHANGES, "completed")
         val request = PeerRequest.Publish(record, revision)
-        Members.peers(turn).forEach { turn.emit(SessionEffect.AskPeer(it, request)) }
-        turn.put(turn.group(group.name).copy(changeAfter = turn.now + turn.settings.changes.pause))
+        PeerMonitoring.peers(turn).forEach { turn.emit(SessionEffect.AskPeer(it, request)) }
+        turn.put(turn.group(group.name).copy(changeAfter = turn.now + turn.settings.changes.retryPause))
     }
 
     /** Whether the requests of the present phase are to be repeated. */
-    fun isDue(turn: Turn, change: PrimaryChange): Boolean =
-        change.repeatedAt?.let { turn.now - it >= turn.settings.changes.repeat } ?: true
+    fun isDue(turn: Reduction, change: PrimaryChange): Boolean =
+        change.requestsSentAt?.let { turn.now - it >= turn.settings.changes.requestPeriod } ?: true
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/Suspicions.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/PrimaryFailureDetection.kt
@@ -14,11 +14,11 @@
 import dev.hibiscusreach.sessions.state.Suspicion
 
 /** Decides when a primary is to be replaced, together with what the other proxies see. */
-internal object Suspicions {
-    fun review(turn: Turn, name: GroupName) {
+internal object PrimaryFailureDetection {
+    fun review(turn: Reduction, name: GroupName) {
         val group = turn.group(name)
         val record = group.record ?: return
-        if (Primaries.changing(group) || !mayAct(turn, group)) return
+        if (PrimaryStatus.changing(group) || !mayAct(turn, group)) return
         val reason = reason(turn, group, record)
         when {
             reason == null -> if (group.suspicion != null) clear(turn, group)
@@ -27,7 +27,7 @@
         }
     }
 
-    fun reported(turn: Turn, event: SessionEvent.PeerAnswered, request: PeerRequest.Sighting) {
+    fun reported(turn: Reduction, event: SessionEvent.PeerAnswered, request: PeerRequest.Sighting) {
         for (group in turn.state.groups.values) {
             val suspicion = group.suspicion ?: continue
             if (group.record?.primary == request.server && event.peer in suspicion.asked) {
@@ -37,17 +37,20 @@
         }
     }
 
-    private fun mayAct(turn: Turn, group: GroupView): Boolean {
+    private fun mayAct(turn: Reduction, group: GroupView): Boolean {
         val settled = group.changeAfter?.let { turn.now >= it } ?: true
-        return settled && Primaries.leaseHolds(turn) && !turn.state.fleet.lost && turn.state.stoppingSince == null
+        return settled &&
+            PrimaryStatus.leaseHolds(turn) &&
+            !turn.state.fleet.storeLost &&
+            turn.state.stoppingSince == null
     }
 
-    private fun clear(turn: Turn, group: GroupView) {
+    private fun clear(turn: Reduction, group: GroupView) {
         turn.log("primary no longer suspected", "group" to group.name, "primary" to group.record?.primary)
         turn.put(group.copy(suspicion = null))
     }
 
-    private fun reason(turn: Turn, group: GroupView, record: FleetRecord.Group): ChangeReason? {
+    private fun reason(turn: Reduction, group: GroupView, record: FleetRecord.Group): ChangeReason? {
         val changes = turn.settings.changes
         val health = turn.health(record.primary)
         val server = turn.state.server(record.primary)
@@ -56,9 +59,9 @@
         val deposed = health.notPrimaryAt != null && server?.role == ServerRole.REPLICA
         val adopted = group.adoptedAt ?: turn.now
         return when {
-            server == null && turn.now - adopted > changes.suspicion -> ChangeReason.UNREGISTERED
-            refusedAt != null && silence > changes.refusedSuspicion -> ChangeReason.REFUSING
-            silence > changes.suspicion -> ChangeReason.SILENT
+            server == null && turn.now - adopted > changes.suspicionTimeout -> ChangeReason.UNREGISTERED
+            refusedAt != null && silence > changes.refusedSuspicionTimeout -> ChangeReason.REFUSING
+            silence > changes.suspicionTimeout -> ChangeReason.SILENT
             deposed -> ChangeReason.DEPOSED
             server?.leaving == true -> ChangeReason.LEAVING
             else -> null
@@ -66,23 +69,23 @@
     }
 
     private fun pursue(
-        turn: Turn,
+        turn: Reduction,
         group: GroupView,
         suspicion: Suspicion,
         record: FleetRecord.Group,
     ) {
-        val rank = Ranks.own(turn, group.name) ?: return
+        val rank = ProxyRanking.own(turn, group.name) ?: return
         val due = suspicion.since + turn.settings.changes.rankDelay * rank
         when {
             turn.now < due -> Unit
-            !suspicion.reason.needsSightings -> Changes.begin(turn, group.name, suspicion.reason)
+            !suspicion.reason.needsSightings -> PrimaryChanges.begin(turn, group.name, suspicion.reason)
             suspicion.askedAt == null -> ask(turn, group, suspicion, record)
             isComplete(turn, suspicion) -> decide(turn, group, suspicion)
         }
     }
 
-    private fun ask(turn: Turn, group: GroupView, suspicion: Suspicion, record: FleetRecord.Group) {
-        val peers = Members.peers(turn)
+    private fun ask(turn: Reduction, group: GroupView, suspicion: Suspicion, record: FleetRecord.Group) {
+        val peers = PeerMonitoring.peers(turn)
         turn.log(
             "primary suspected",
             "group" to group.name,
@@ -93,18 +96,18 @@
         peers.forEach { turn.emit(SessionEffect.AskPeer(it, PeerRequest.Sighting(record.primary))) }
     }
 
-    private fun isComplete(turn: Turn, suspicion: Suspicion): Boolean {
+    private fun isComplete(turn: Reduction, suspicion: Suspicion): Boolean {
         val askedAt = suspicion.askedAt ?: return false
         return suspicion.reports.keys.containsAll(suspicion.asked) ||
-            turn.now - askedAt > turn.settings.changes.sightings
+            turn.now - askedAt > turn.settings.changes.sightingTimeout
     }
 
     // Proxies that do not answer may reach the primary and keep it in use until their leases end. A primary is replaced
     // earlier only if most of the proxies are known not to reach it.
-    private fun decide(turn: Turn, group: GroupView, suspicion: Suspicion) {
+    private fun decide(turn: Reduction, group: GroupView, suspicion: Suspicion) {
         val outcomes = suspicion.reports.values
         val answers = outcomes.mapNotNull { (it as? PeerOutcome.Answered)?.answer as? PeerAnswer.Seen }
-        val recent = turn.settings.changes.recentSighting.value
+        val recent = turn.settings.changes.sightingMaxAge.value
         val seen = answers.count { seen -> seen.ageMillis?.let { it < recent } ?: false }
         val unseen = answers.size - seen + 1
         val running = suspicion.asked.size - outcomes.count { it is PeerOutcome.NotRunning } + 1
@@ -119,10 +122,10 @@
             "replaces" to replaces,
         )
         if (replaces) {
-            Changes.begin(turn, group.name, suspicion.reason)
+            PrimaryChanges.begin(turn, group.name, suspicion.reason)
         } else {
             val again = suspicion.copy(askedAt = null, asked = emptySet(), reports = emptyMap())
-            turn.put(group.copy(suspicion = again, changeAfter = turn.now + turn.settings.changes.pause))
+            turn.put(group.copy(suspicion = again, changeAfter = turn.now + turn.settings.changes.retryPause))
         }
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/Fences.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/PrimaryFencing.kt
@@ -15,9 +15,9 @@
  * Stops the use of a primary that is being replaced. A fence is settled once nothing that was sent to the primary is
  * still trusted; only then is it confirmed, so that a successor cannot lead beside it.
  */
-internal object Fences {
+internal object PrimaryFencing {
     /** A peer that replaces the primary asks for a fence. */
-    fun asked(turn: Turn, number: PeerRequestNumber, request: PeerRequest.Fence) {
+    fun asked(turn: Reduction, number: PeerRequestNumber, request: PeerRequest.Fence) {
         val name = GroupName(request.group)
         val inForce = turn.group(name).record
         if (inForce != null && inForce.changedBy == null && inForce.epoch >= request.epoch) {
@@ -31,7 +31,7 @@
     }
 
     /** Stops the use of the primary before [epoch]. */
-    fun raise(turn: Turn, name: GroupName, epoch: Long, planned: Boolean) {
+    fun raise(turn: Reduction, name: GroupName, epoch: Long, planned: Boolean) {
         val group = turn.group(name)
         val before = group.fence
         if (before != null && before.epoch >= epoch) return
@@ -42,7 +42,7 @@
     }
 
     /** Confirms a fence when nothing is in flight to the primary, or when its grace is over. */
-    fun settle(turn: Turn, name: GroupName) {
+    fun settle(turn: Reduction, name: GroupName) {
         val group = turn.group(name)
         val fence = group.fence ?: return
         if (!fence.settled) {
@@ -56,13 +56,13 @@
     }
 
     /** Answers peers that wait for a fence which is no longer needed. */
-    fun dropWaiting(turn: Turn, group: GroupView) =
+    fun dropWaiting(turn: Reduction, group: GroupView) =
         group.fence
             ?.waiting
             .orEmpty()
             .forEach { turn.emit(SessionEffect.AnswerPeer(it, PeerAnswer.Done)) }
 
-    private fun confirm(turn: Turn, name: GroupName) {
+    private fun confirm(turn: Reduction, name: GroupName) {
         val group = turn.group(name)
         val fence = group.fence ?: return
         if (!fence.settled) turn.log("fence settled", "group" to name, "epoch" to fence.epoch)
@@ -70,7 +70,7 @@
         turn.put(group.copy(fence = fence.copy(settled = true, waiting = fence.waiting.clear())))
     }
 
-    private fun affected(turn: Turn, group: GroupView): List<Session> =
+    private fun affected(turn: Reduction, group: GroupView): List<Session> =
         group.record?.let { turn.sessionsAt(group.name, it.primary) }.orEmpty()
 
     private fun holdsFence(session: Session, planned: Boolean): Boolean {
@@ -82,9 +82,11 @@
     }
 
     // A transaction whose commit was sent ends with the answer to it.
-    private fun endTransaction(turn: Turn, session: Session) {
+    private fun endTransaction(turn: Reduction, session: Session) {
         val running = session.running ?: return
         if (running.begun.readOnly) return
-        if (session.pending == null) Deadlines.endTransaction(turn, session, running, "the primary is being replaced")
+        if (session.pending == null) {
+            StatementDeadlines.endTransaction(turn, session, running, "the primary is being replaced")
+        }
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/Primaries.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/PrimaryStatus.kt
@@ -13,21 +13,21 @@
 import dev.hibiscusreach.sessions.state.Transaction
 
 /** Which server leads a group, and how fresh a read has to be. */
-internal object Primaries {
+internal object PrimaryStatus {
     private const val NO_MARGIN = 0L
 
     /** Bounds the memory of a group; an older sample would only let more replicas serve a read. */
     private const val KEPT_HEADS = 64
 
     /** The primary, if it may be used now: the record is stable, not fenced, and the lease holds. */
-    fun usable(turn: Turn, group: GroupView, margin: Millis = Millis(NO_MARGIN)): ServerName? {
+    fun usable(turn: Reduction, group: GroupView, margin: Millis = Millis(NO_MARGIN)): ServerName? {
         val record = group.record ?: return null
         val fenced = record.changedBy != null || (group.fence?.epoch ?: 0) > record.epoch
         return record.primary.takeIf { !fenced && leaseHolds(turn, margin) && it in turn.state.servers }
     }
 
     /** Whether no change of primary can have been completed without this proxy's consent. */
-    fun leaseHolds(turn: Turn, margin: Millis = Millis(NO_MARGIN)): Boolean {
+    fun leaseHolds(turn: Reduction, margin: Millis = Millis(NO_MARGIN)): Boolean {
         val from = turn.state.fleet.leaseFrom ?: return false
         return turn.now + margin < from + turn.settings.leases.duration
     }
@@ -39,7 +39,7 @@
             (group.fence?.epoch ?: 0) > (group.record?.epoch ?: 0)
 
     /** Records that the primary's log ended at or after [position] when it answered something sent at [sentAt]. */
-    fun sampled(turn: Turn, name: GroupName, sentAt: MonotonicTime, position: Position) {
+    fun sampled(turn: Reduction, name: GroupName, sentAt: MonotonicTime, position: Position) {
         val group = turn.group(name)
         val latest = group.heads.lastOrNull()
         if (latest != null && latest.sentAt >= sentAt) return
@@ -53,19 +53,19 @@
      * The position that a server must have applied so that a read at it is fresh enough; null if that is not known.
      * The oldest sample that satisfies the bound is taken, because the most replicas have reached it.
      */
-    fun minimumPosition(turn: Turn, session: Session, pending: PendingStatement): Position? {
+    fun minimumPosition(turn: Reduction, session: Session, pending: PendingStatement): Position? {
         val from = (session.transaction as? Transaction.Begun)?.begunAt ?: pending.arrivedAt
         val name = pending.route.group
         return when (val consistency = pending.route.consistency) {
             Consistency.Primary -> null
-            is Consistency.Bounded -> headAt(turn, name, from - consistency.maximumAge)
-            is Consistency.OwnWrites -> {
-                val own = session.ownCommit?.takeIf { it.group == name }?.position
+            is Consistency.BoundedStaleness -> headAt(turn, name, from - consistency.maximumAge)
+            is Consistency.ReadYourWrites -> {
+                val own = session.lastCommit?.takeIf { it.group == name }?.position
                 headAt(turn, name, from - consistency.maximumAge)?.let { maxOf(it, own ?: it) }
             }
         }
     }
 
-    private fun headAt(turn: Turn, name: GroupName, time: MonotonicTime): Position? =
+    private fun headAt(turn: Reduction, name: GroupName, time: MonotonicTime): Position? =
         turn.group(name).heads.firstOrNull { it.sentAt >= time }?.position
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/Turn.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/Reduction.kt
@@ -15,7 +15,7 @@
 import kotlinx.collections.immutable.mutate
 
 /** The reduction of one event: the state so far and the effects so far. */
-internal class Turn(var state: SessionProxyState, val now: MonotonicTime) {
+internal class Reduction(var state: SessionProxyState, val now: MonotonicTime) {
     private val collected = mutableListOf<SessionEffect>()
 
     /** The effects so far, in order. */
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/Losses.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerConnectionEvents.kt
@@ -12,27 +12,27 @@
 import dev.hibiscusreach.sessions.state.Transaction
 
 /** Handles connections that open, are refused, break, or are given up. */
-internal object Losses {
-    fun opened(turn: Turn, event: SessionEvent.ConnectionOpened) {
+internal object ServerConnectionEvents {
+    fun opened(turn: Reduction, event: SessionEvent.ConnectionOpened) {
         val connection = turn.state.connections[event.connection] ?: return
-        Pools.put(turn, connection.copy(open = true, usedAt = turn.now))
-        HealthNotes.answered(turn, connection.server)
+        ConnectionPools.put(turn, connection.copy(open = true, usedAt = turn.now))
+        ServerHealthTracking.answered(turn, connection.server)
         turn.updateHealth(connection.server) {
             if (it.connectPause != null) logReachable(turn, connection)
             it.copy(connectPause = null, connectAfter = null, refusedAt = null)
         }
-        Dispatch.serveWaiting(turn, connection.group)
+        StatementDispatch.serveWaiting(turn, connection.group)
     }
 
-    fun refused(turn: Turn, event: SessionEvent.ConnectionRefused) {
+    fun refused(turn: Reduction, event: SessionEvent.ConnectionRefused) {
         val connection = turn.state.connections[event.connection] ?: return
-        Pools.remove(turn, connection)
-        HealthNotes.answered(turn, connection.server)
+        ConnectionPools.remove(turn, connection)
+        ServerHealthTracking.answered(turn, connection.server)
         if (event.failure == ServerFailure.CONNECTION_LIMIT) {
-            val after = turn.now + turn.settings.connections.limitPause
+            val after = turn.now + turn.settings.connections.connectionLimitPause
             turn.updateHealth(connection.server) { it.copy(connectAfter = after) }
         } else {
-            HealthNotes.connectFailed(turn, connection.server)
+            ServerHealthTracking.connectFailed(turn, connection.server)
         }
         turn.count(SessionCounter.CONNECTIONS, "refused")
         turn.log(
@@ -40,12 +40,12 @@
             "server" to connection.server,
             "reason" to event.failure.name,
         )
-        if (event.failure == ServerFailure.WRONG_SERVER) Servers.forget(turn, connection.server)
+        if (event.failure == ServerFailure.WRONG_SERVER) ServerRegistry.forget(turn, connection.server)
     }
 
-    fun lost(turn: Turn, event: SessionEvent.ConnectionLost) {
+    fun lost(turn: Reduction, event: SessionEvent.ConnectionLost) {
         val connection = turn.state.connections[event.connection] ?: return
-        Pools.remove(turn, connection)
+        ConnectionPools.remove(turn, connection)
         turn.count(SessionCounter.CONNECTIONS, "lost")
         turn.log(
             "connection lost",
@@ -54,21 +54,21 @@
             "wasOpen" to connection.open,
             "reason" to event.failure.name,
         )
-        if (!connection.open) HealthNotes.connectFailed(turn, connection.server)
+        if (!connection.open) ServerHealthTracking.connectFailed(turn, connection.server)
         if (event.failure == ConnectionFailure.REFUSED) {
             turn.updateHealth(connection.server) { it.copy(refusedAt = turn.now) }
         }
         afterLoss(turn, connection)
-        Dispatch.serveWaiting(turn, connection.group)
+        StatementDispatch.serveWaiting(turn, connection.group)
     }
 
     /** Closes a connection whose state is in doubt. */
-    fun closeBroken(turn: Turn, connection: ServerConnection) {
-        Pools.close(turn, connection)
+    fun closeBroken(turn: Reduction, connection: ServerConnection) {
+        ConnectionPools.close(turn, connection)
         afterLoss(turn, connection)
     }
 
-    private fun afterLoss(turn: Turn, connection: ServerConnection) {
+    private fun afterLoss(turn: Reduction, connection: ServerConnection) {
         val session = connection.heldBy?.let { turn.session(it) } ?: return
         val pending = session.pending
         val running = session.running
@@ -84,7 +84,7 @@
     }
 
     private fun lostInTransaction(
-        turn: Turn,
+        turn: Reduction,
         session: Session,
         pending: PendingStatement,
         running: Transaction.Running,
@@ -94,32 +94,38 @@
         val kind = if (mayHaveCommitted) ErrorKind.OUTCOME_UNKNOWN else ErrorKind.TRANSACTION_ENDED
         val next = session.copy(transaction = pending.transactionAfterFailure)
         val message = "the transaction's server connection was lost"
-        Replies.pending(turn, next, pending, Replies.refusal(turn, next, kind, message))
+        SessionReplies.pending(turn, next, pending, SessionReplies.refusal(turn, next, kind, message))
     }
 
     private fun lostStatement(
-        turn: Turn,
+        turn: Reduction,
         session: Session,
         pending: PendingStatement,
         connection: ServerConnection,
     ) {
-        val harmless = pending.phase is Phase.Beginning || Failures.isRead(session, pending)
+        val harmless = pending.phase is Phase.Beginning || StatementFailures.isRead(session, pending)
         when {
             !harmless -> {
                 val message = "the server connection was lost before the write was answered"
-                val reply = Replies.refusal(turn, session, ErrorKind.OUTCOME_UNKNOWN, message)
-                Replies.pending(turn, session, pending, reply)
+                val reply = SessionReplies.refusal(turn, session, ErrorKind.OUTCOME_UNKNOWN, message)
+                SessionReplies.pending(turn, session, pending, reply)
             }
-            Failures.hasTime(turn, pending) -> {
+            StatementFailures.hasTime(turn, pending) -> {
                 turn.count(SessionCounter.RETRIES, "connection-lost")
                 val next = pending.copy(excluded = pending.excluded + connection.server)
-                Dispatch.requeue(turn, session, next)
+                StatementDispatch.requeue(turn, session, next)
             }
             else ->
-                Failures.refuse(turn, session, pending, ErrorKind.SERVER_UNREACHABLE, "the server connection was lost")
+                StatementFailures.refuse(
+                    turn,
+                    session,
+                    pending,
+                    ErrorKind.SERVER_UNREACHABLE,
+                    "the server connection was lost",
+                )
         }
     }
 
-    private fun logReachable(turn: Turn, connection: ServerConnection) =
+    private fun logReachable(turn: Reduction, connection: ServerConnection) =
         turn.log("server reachable again", "server" to connection.server)
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/Servers.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerRegistry.kt
@@ -9,9 +9,9 @@
 import kotlinx.collections.immutable.toPersistentMap
 
 /** Keeps the registered servers and the operators' configuration. */
-internal object Servers {
+internal object ServerRegistry {
     /** Takes a newer configuration; an older one is ignored. */
-    fun configure(turn: Turn, configuration: RoutingConfiguration) {
+    fun configure(turn: Reduction, configuration: RoutingConfiguration) {
         val before = turn.state.configuration?.version
         if (before == null || configuration.version > before) {
             turn.state = turn.state.copy(configuration = configuration)
@@ -27,7 +27,7 @@
         }
     }
 
-    fun read(turn: Turn, event: SessionEvent.ServersRead) {
+    fun read(turn: Reduction, event: SessionEvent.ServersRead) {
         val before = turn.state.servers
         val present = event.servers.mapValues { (_, server) -> KnownServer(server) }
         val missing =
@@ -45,27 +45,27 @@
     }
 
     /** Removes servers whose entry has been missing for too long. */
-    fun review(turn: Turn) {
-        val limit = turn.settings.connections.missingLimit
+    fun review(turn: Reduction) {
+        val limit = turn.settings.connections.missingEntryTimeout
         turn.state.servers.values
             .filter { known -> known.missingSince?.let { turn.now - it > limit } ?: false }
             .forEach { forget(turn, it.server.name) }
     }
 
     /** Removes a server and its unused connections. */
-    fun forget(turn: Turn, name: ServerName) {
+    fun forget(turn: Reduction, name: ServerName) {
         val known = turn.state.servers[name] ?: return
         turn.log("server removed", "server" to name, "group" to known.server.group)
         turn.state = turn.state.copy(servers = turn.state.servers.remove(name))
         closeIdle(turn, name)
     }
 
-    private fun noteMissing(turn: Turn, server: RegisteredServer) {
+    private fun noteMissing(turn: Reduction, server: RegisteredServer) {
         turn.log("server entry missing", "server" to server.name, "group" to server.group)
         DepartedReplicas.missing(turn, server)
     }
 
-    private fun noteChange(turn: Turn, before: RegisteredServer?, after: RegisteredServer) {
+    private fun noteChange(turn: Reduction, before: RegisteredServer?, after: RegisteredServer) {
         if (before == after) return
         turn.log(
             "server entry",
@@ -83,15 +83,15 @@
         }
     }
 
-    private fun closeIdle(turn: Turn, name: ServerName) =
-        Pools
+    private fun closeIdle(turn: Reduction, name: ServerName) =
+        ConnectionPools
             .connections(turn, name)
             .filter { it.heldBy == null }
-            .forEach { Pools.close(turn, it) }
+            .forEach { ConnectionPools.close(turn, it) }
 }
 
 /** The registered servers of [group]. */
-internal fun Turn.servers(group: GroupName): List<RegisteredServer> =
+internal fun Reduction.servers(group: GroupName): List<RegisteredServer> =
     state.servers.values
         .map { it.server }
         .filter { it.group == group }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerSelection.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerSelection.kt
@@ -12,16 +12,16 @@
 import dev.hibiscusreach.sessions.state.Transaction
 
 /** A server that can take a statement, and the position that it must have applied. */
-internal data class Candidate(val server: RegisteredServer, val minimumPosition: Position?)
+internal data class ServerCandidate(val server: RegisteredServer, val minimumPosition: Position?)
 
 /** Chooses servers for statements. */
 internal object ServerSelection {
     /** The servers that can take the pending statement, the best one first. */
-    fun candidates(turn: Turn, session: Session, pending: PendingStatement): List<Candidate> {
+    fun candidates(turn: Reduction, session: Session, pending: PendingStatement): List<ServerCandidate> {
         val group = turn.group(pending.route.group)
         val primary = primary(turn, group, session, pending)
         if (needsPrimary(session, pending)) return listOfNotNull(primary)
-        val position = Primaries.minimumPosition(turn, session, pending)
+        val position = PrimaryStatus.minimumPosition(turn, session, pending)
         val replicas = if (position == null) emptyList() else replicas(turn, group, pending, position)
         return (replicas + listOfNotNull(primary))
             .distinctBy { it.server.name }
@@ -36,9 +36,9 @@
         }
 
     /** Expected duration of a statement at [server], with a penalty for the distance. */
-    fun cost(turn: Turn, server: RegisteredServer): Millis {
+    fun cost(turn: Reduction, server: RegisteredServer): Millis {
         val limits = turn.settings.connections
-        val place = turn.state.place
+        val place = turn.state.self
         val distance =
             when {
                 server.failureDomain == place.failureDomain -> Millis(0)
@@ -46,38 +46,44 @@
                 else -> limits.regionPenalty
             }
         val latency = turn.health(server.name).latency ?: limits.expectedLatency
-        val busy = Pools.connections(turn, server.name).count { it.heldBy != null }
+        val busy = ConnectionPools.connections(turn, server.name).count { it.heldBy != null }
         return distance + Millis(latency.value * (busy + 1))
     }
 
     // An excluded primary stays a candidate for what no other server can take.
-    private fun primary(turn: Turn, group: GroupView, session: Session, pending: PendingStatement): Candidate? {
+    private fun primary(
+        turn: Reduction,
+        group: GroupView,
+        session: Session,
+        pending: PendingStatement,
+    ): ServerCandidate? {
         val margin = if (pending.access == Access.WRITE) turn.settings.leases.writeMargin else Millis(0)
-        val name = Primaries.usable(turn, group, margin) ?: return null
+        val name = PrimaryStatus.usable(turn, group, margin) ?: return null
         val only = needsPrimary(session, pending)
         return turn.state
             .server(name)
             ?.takeIf { only || isReachable(turn, name) && name !in pending.excluded }
-            ?.let { Candidate(it, minimumPosition = null) }
+            ?.let { ServerCandidate(it, minimumPosition = null) }
     }
 
     private fun replicas(
-        turn: Turn,
+        turn: Reduction,
         group: GroupView,
         pending: PendingStatement,
         position: Position,
-    ): List<Candidate> =
+    ): List<ServerCandidate> =
         SuccessorChoice
             .replicas(turn, group)
             .filter { !it.leaving && it.name !in pending.excluded }
             .filter { isReachable(turn, it.name) && !isBehind(turn, it.name) }
-            .map { Candidate(it, position) }
+            .map { ServerCandidate(it, position) }
 
-    private fun isBehind(turn: Turn, name: ServerName) =
+    private fun isBehind(turn: Reduction, name: ServerName) =
         turn.health(name).behindUntil?.let { turn.now < it } ?: false
 
-    private fun isReachable(turn: Turn, name: ServerName): Boolean {
-        val connects = !HealthNotes.isPaused(turn, name) || Pools.connections(turn, name).any { it.open }
-        return connects && !HealthNotes.isSilent(turn, name)
+    private fun isReachable(turn: Reduction, name: ServerName): Boolean {
+        val connects =
+            !ServerHealthTracking.isPaused(turn, name) || ConnectionPools.connections(turn, name).any { it.open }
+        return connects && !ServerHealthTracking.isSilent(turn, name)
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/SessionLifecycle.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/SessionLifecycle.kt
@@ -13,8 +13,8 @@
 /** Opens and ends sessions. */
 internal object SessionLifecycle {
     /** Opens a session; before the first configuration it waits for a short time, because a refusal costs a retry. */
-    fun open(turn: Turn, event: SessionEvent.SessionRequested) {
-        if (turn.state.configuration == null && !turn.state.fleet.lost) {
+    fun open(turn: Reduction, event: SessionEvent.SessionRequested) {
+        if (turn.state.configuration == null && !turn.state.fleet.storeLost) {
             val arriving = ArrivingSession(event.session, event.database, turn.now)
             turn.state = turn.state.copy(arriving = turn.state.arriving.add(arriving))
         } else {
@@ -23,23 +23,23 @@
     }
 
     /** Decides on the sessions that waited for the first configuration. */
-    fun configured(turn: Turn) {
+    fun configured(turn: Reduction) {
         val arriving = turn.state.arriving
         turn.state = turn.state.copy(arriving = persistentListOf())
         arriving.forEach { decide(turn, it.number, it.database) }
     }
 
     /** Refuses sessions that have waited too long for a configuration, or whose store is lost. */
-    fun review(turn: Turn) {
-        val limit = turn.settings.requests.arrival
+    fun review(turn: Reduction) {
+        val limit = turn.settings.statements.configurationWait
         val (refused, waiting) =
-            turn.state.arriving.partition { turn.state.fleet.lost || turn.now - it.since >= limit }
+            turn.state.arriving.partition { turn.state.fleet.storeLost || turn.now - it.since >= limit }
         if (refused.isEmpty()) return
         turn.state = turn.state.copy(arriving = waiting.toPersistentList())
         refused.forEach { decide(turn, it.number, it.database) }
     }
 
-    private fun decide(turn: Turn, session: SessionNumber, database: DatabaseName) {
+    private fun decide(turn: Reduction, session: SessionNumber, database: DatabaseName) {
         val configuration = turn.state.configuration
         if (configuration?.routes?.containsKey(database) == true) {
             turn.put(Session(session, database))
@@ -58,7 +58,7 @@
     }
 
     /** Forgets a session; what it had open at a server is rolled back. */
-    fun end(turn: Turn, event: SessionEvent.SessionEnded) {
+    fun end(turn: Reduction, event: SessionEvent.SessionEnded) {
         val arriving = turn.state.arriving.removeAll { it.number == event.session }
         turn.state = turn.state.copy(arriving = arriving)
         val session = turn.session(event.session) ?: return
@@ -67,8 +67,8 @@
         turn.state =
             state.copy(sessions = state.sessions.remove(session.number), active = state.active.remove(session.number))
         val running = session.running
-        val held = running?.connection ?: PoolUse.heldBy(session.pending)
+        val held = running?.connection ?: ConnectionCheckout.heldBy(session.pending)
         // An outstanding statement keeps the connection until its answer; only then is it known what to roll back.
-        if (held != null) PoolUse.abandon(turn, held, rollback = running != null)
+        if (held != null) ConnectionCheckout.abandon(turn, held, rollback = running != null)
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/Replies.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/SessionReplies.kt
@@ -10,9 +10,9 @@
 import dev.hibiscusreach.sessions.state.Session
 
 /** Answers callers, and logs each answer with what decided it. */
-internal object Replies {
+internal object SessionReplies {
     /** Answers a statement that needed no server. */
-    fun local(turn: Turn, session: Session, identifier: String, reply: SessionReply) {
+    fun local(turn: Reduction, session: Session, identifier: String, reply: SessionReply) {
         if (reply !is SessionReply.Completed) {
             turn.log(
                 "statement refused",
@@ -27,7 +27,7 @@
     }
 
     /** Answers the pending statement of [session], which has the state after the answer. */
-    fun pending(turn: Turn, session: Session, pending: PendingStatement, reply: SessionReply) {
+    fun pending(turn: Reduction, session: Session, pending: PendingStatement, reply: SessionReply) {
         turn.put(session.copy(pending = null))
         val duration = turn.now - pending.arrivedAt
         logPending(turn, session, pending, reply)
@@ -37,19 +37,19 @@
     }
 
     /** A refusal of [kind] with the retry advice of its error kind. */
-    fun refusal(turn: Turn, session: Session, kind: ErrorKind, message: String): SessionReply.Refused {
-        val requests = turn.settings.requests
+    fun refusal(turn: Reduction, session: Session, kind: ErrorKind, message: String): SessionReply.Refused {
+        val requests = turn.settings.statements
         val retry =
             when (kind) {
-                ErrorKind.NO_PRIMARY, ErrorKind.SERVER_UNREACHABLE -> requests.primaryRetry
-                else -> requests.overloadRetry.takeIf { kind.advice == RetryAdvice.AFTER_A_PAUSE }
+                ErrorKind.NO_PRIMARY, ErrorKind.SERVER_UNREACHABLE -> requests.noPrimaryRetryAfter
+                else -> requests.overloadRetryAfter.takeIf { kind.advice == RetryAdvice.AFTER_A_PAUSE }
             }
         return SessionReply.Refused(kind, message, session.transaction.status, retry)
     }
 
-    private fun logPending(turn: Turn, session: Session, pending: PendingStatement, reply: SessionReply) {
+    private fun logPending(turn: Reduction, session: Session, pending: PendingStatement, reply: SessionReply) {
         val group = turn.group(pending.route.group)
-        val connection = PoolUse.heldBy(pending)?.let { turn.state.connections[it] }
+        val connection = ConnectionCheckout.heldBy(pending)?.let { turn.state.connections[it] }
         turn.log(
             if (reply is SessionReply.Completed) "statement served" else "statement not served",
             "request" to pending.identifier,
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/SessionSetup.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/SessionSetup.kt
@@ -22,7 +22,7 @@
             session.values
                 .filter { (name, value) -> base.values[name] != value }
                 .map { (name, value) -> ServerStatement.SetValue(name, value) }
-        val shape = (statement as? ServerStatement.Execute)?.shape?.takeIf { it !in base.prepared }
+        val shape = (statement as? ServerStatement.Execute)?.prepared?.takeIf { it !in base.prepared }
         val prepare = listOfNotNull(shape?.let { ServerStatement.Prepare(it) })
         val prepared = if (shape == null) base.prepared else base.prepared.add(shape)
         return base.copy(values = session.values, prepared = prepared) to reset + values + prepare
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/Arrivals.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementArrivals.kt
@@ -12,8 +12,8 @@
 import dev.hibiscusreach.sessions.state.Transaction
 
 /** Takes statements from callers; answers what needs no server. */
-internal object Arrivals {
-    fun statement(turn: Turn, event: SessionEvent.StatementArrived) {
+internal object StatementArrivals {
+    fun statement(turn: Reduction, event: SessionEvent.StatementArrived) {
         val session = turn.session(event.session) ?: return
         when (val transaction = session.transaction) {
             is Transaction.Aborted -> answerAborted(turn, session, event, transaction)
@@ -23,7 +23,7 @@
     }
 
     private fun answerAborted(
-        turn: Turn,
+        turn: Reduction,
         session: Session,
         event: SessionEvent.StatementArrived,
         transaction: Transaction.Aborted,
@@ -39,7 +39,7 @@
         answerLocally(turn, session.copy(transaction = next), event, reply)
     }
 
-    private fun answerFailed(turn: Turn, session: Session, event: SessionEvent.StatementArrived) {
+    private fun answerFailed(turn: Reduction, session: Session, event: SessionEvent.StatementArrived) {
         val ended = session.copy(transaction = Transaction.None)
         val failed = "the transaction has failed and can only be rolled back"
         when (event.statement) {
@@ -61,7 +61,7 @@
         }
     }
 
-    private fun accept(turn: Turn, session: Session, event: SessionEvent.StatementArrived) {
+    private fun accept(turn: Reduction, session: Session, event: SessionEvent.StatementArrived) {
         val status = session.transaction.status
         when (val statement = event.statement) {
             is CallerStatement.Begin -> begin(turn, session, event, statement)
@@ -71,7 +71,7 @@
                 answerLocally(turn, session.copy(values = values), event, completed(status))
             }
             is CallerStatement.Prepare -> {
-                val prepared = session.prepared.put(statement.name, statement.shape)
+                val prepared = session.prepared.put(statement.name, statement.prepared)
                 answerLocally(turn, session.copy(prepared = prepared), event, completed(status))
             }
             is CallerStatement.Deallocate -> {
@@ -101,7 +101,7 @@
     }
 
     private fun begin(
-        turn: Turn,
+        turn: Reduction,
         session: Session,
         event: SessionEvent.StatementArrived,
         statement: CallerStatement.Begin,
@@ -122,7 +122,7 @@
         }
     }
 
-    private fun rollback(turn: Turn, session: Session, event: SessionEvent.StatementArrived) {
+    private fun rollback(turn: Reduction, session: Session, event: SessionEvent.StatementArrived) {
         val running = session.running
         answerLocally(
             turn,
@@ -130,10 +130,10 @@
             event,
             completed(TransactionStatus.NONE),
         )
-        if (running != null) PoolUse.rollback(turn, running.connection)
+        if (running != null) ConnectionCheckout.rollback(turn, running.connection)
     }
 
-    private fun forward(turn: Turn, session: Session, event: SessionEvent.StatementArrived, access: Access) {
+    private fun forward(turn: Reduction, session: Session, event: SessionEvent.StatementArrived, access: Access) {
         val route =
             when (val transaction = session.transaction) {
                 is Transaction.Begun -> transaction.route
@@ -148,18 +148,18 @@
             val pending = PendingStatement(event.identifier, event.statement, access, route, turn.now)
             val waiting = session.copy(pending = pending)
             turn.put(waiting)
-            Dispatch.start(turn, waiting, pending)
+            StatementDispatch.start(turn, waiting, pending)
         }
     }
 
     private fun answerLocally(
-        turn: Turn,
+        turn: Reduction,
         session: Session,
         event: SessionEvent.StatementArrived,
         reply: SessionReply,
     ) {
         turn.put(session)
-        Replies.local(turn, session, event.identifier, reply)
+        SessionReplies.local(turn, session, event.identifier, reply)
     }
 
     private fun completed(status: TransactionStatus) = SessionReply.Completed(status = status)
@@ -169,8 +169,8 @@
 }
 
 /** The time at which a pending statement stops waiting for a connection. */
-internal fun PendingStatement.waitsUntil(turn: Turn, changing: Boolean): MonotonicTime {
-    val usual = route.latencyObjective.value * turn.settings.requests.waitPercent / FULL_PERCENT
+internal fun PendingStatement.waitsUntil(turn: Reduction, changing: Boolean): MonotonicTime {
+    val usual = route.latencyObjective.value * turn.settings.statements.maxWaitPercent / FULL_PERCENT
     val limit = if (changing) route.statementTimeout.value else minOf(usual, route.statementTimeout.value)
     return MonotonicTime(arrivedAt.millis + limit)
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/Delivery.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementCompletion.kt
@@ -5,25 +5,25 @@
 import dev.hibiscusreach.sessions.event.SessionCounter
 import dev.hibiscusreach.sessions.model.ServerAnswer
 import dev.hibiscusreach.sessions.model.SessionReply
-import dev.hibiscusreach.sessions.state.OwnCommit
+import dev.hibiscusreach.sessions.state.CommitPosition
 import dev.hibiscusreach.sessions.state.PendingStatement
 import dev.hibiscusreach.sessions.state.PendingStatement.Phase
 import dev.hibiscusreach.sessions.state.Session
 import dev.hibiscusreach.sessions.state.Transaction
 
 /** Delivers what a server has carried out, and keeps the session's state up to date. */
-internal object Delivery {
-    fun completed(turn: Turn, statement: AnsweredStatement, result: ServerAnswer.Result.Completed) {
+internal object StatementCompletion {
+    fun completed(turn: Reduction, statement: AnsweredStatement, result: ServerAnswer.Result.Completed) {
         countRead(turn, statement)
         val running = statement.running
         val writes = statement.pending.access == Access.WRITE
         when {
             running == null -> {
-                Answers.giveBack(turn, statement.connection, statement.answer)
+                ServerAnswers.giveBack(turn, statement.connection, statement.answer)
                 deliver(turn, statement, withOwnCommit(statement, writes), result, changed = writes)
             }
             statement.commits -> {
-                Answers.giveBack(turn, statement.connection, statement.answer)
+                ServerAnswers.giveBack(turn, statement.connection, statement.answer)
                 val ended = withOwnCommit(statement, running.wrote).copy(transaction = Transaction.None)
                 deliver(turn, statement, ended, result, changed = running.wrote)
             }
@@ -36,7 +36,7 @@
 
     // A commit whose answer comes after the primary may have been replaced may be lost with that primary.
     private fun deliver(
-        turn: Turn,
+        turn: Reduction,
         statement: AnsweredStatement,
         session: Session,
         result: ServerAnswer.Result.Completed,
@@ -46,30 +46,30 @@
         val reply =
             if (changed && isDoubtful(turn, statement.pending)) {
                 val message = "the primary may have been replaced before it committed"
-                Replies.refusal(turn, session, ErrorKind.OUTCOME_UNKNOWN, message)
+                SessionReplies.refusal(turn, session, ErrorKind.OUTCOME_UNKNOWN, message)
             } else {
                 SessionReply.Completed(answer.rows, result.proof, session.transaction.status, answer.position)
             }
-        Replies.pending(turn, session, statement.pending, reply)
+        SessionReplies.pending(turn, session, statement.pending, reply)
     }
 
-    private fun isDoubtful(turn: Turn, pending: PendingStatement): Boolean {
+    private fun isDoubtful(turn: Reduction, pending: PendingStatement): Boolean {
         val epoch = (pending.phase as? Phase.Sent)?.epoch ?: 0
         val fence = turn.group(pending.route.group).fence
         val fenced = fence != null && fence.settled && fence.epoch > epoch
-        return fenced || !Primaries.leaseHolds(turn)
+        return fenced || !PrimaryStatus.leaseHolds(turn)
     }
 
     private fun withOwnCommit(statement: AnsweredStatement, changed: Boolean): Session {
         val position = statement.answer.position
         return if (changed && position != null) {
-            statement.session.copy(ownCommit = OwnCommit(statement.connection.group, position))
+            statement.session.copy(lastCommit = CommitPosition(statement.connection.group, position))
         } else {
             statement.session
         }
     }
 
-    private fun countRead(turn: Turn, statement: AnsweredStatement) {
+    private fun countRead(turn: Reduction, statement: AnsweredStatement) {
         if (statement.pending.access == Access.READ && !statement.commits) {
             val primary = turn.group(statement.connection.group).record?.primary == statement.connection.server
             turn.count(SessionCounter.READS, if (primary) "primary" else "replica")
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/Failures.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementFailures.kt
@@ -14,23 +14,23 @@
 import dev.hibiscusreach.sessions.state.Transaction
 
 /** Decides between another try and an answer when a statement fails. */
-internal object Failures {
+internal object StatementFailures {
     /** Refuses a pending statement that has not run. */
-    fun refuse(turn: Turn, session: Session, pending: PendingStatement, kind: ErrorKind, message: String) {
+    fun refuse(turn: Reduction, session: Session, pending: PendingStatement, kind: ErrorKind, message: String) {
         turn.stopWaiting(pending.route.group, session.number)
         val next = afterRefusal(session, pending)
-        Replies.pending(turn, next, pending, Replies.refusal(turn, next, kind, message))
+        SessionReplies.pending(turn, next, pending, SessionReplies.refusal(turn, next, kind, message))
     }
 
     /** Tries a statement outside of a running transaction at another server, or answers with the failure. */
     fun retryElsewhere(
-        turn: Turn,
+        turn: Reduction,
         session: Session,
         pending: PendingStatement,
         server: ServerName,
         failed: ServerAnswer.Result.Failed,
     ) {
-        if (failed.failure == ServerFailure.BEHIND) HealthNotes.behind(turn, server)
+        if (failed.failure == ServerFailure.BEHIND) ServerHealthTracking.behind(turn, server)
         val harmless = failed.failure.notRun || isRead(session, pending)
         if (harmless && hasTime(turn, pending)) {
             turn.count(SessionCounter.RETRIES, failed.failure.name.lowercase())
@@ -39,17 +39,17 @@
             val attempts = maxOf(1, pending.attempts) + failedBegins
             val next = pending.copy(excluded = pending.excluded + server, attempts = attempts)
             val sameServer = ServerSelection.needsPrimary(session, pending)
-            Dispatch.requeue(turn, session, next, turn.settings.requests.pause.takeIf { sameServer })
+            StatementDispatch.requeue(turn, session, next, turn.settings.statements.retryPause.takeIf { sameServer })
         } else {
             val ended = afterRefusal(session, pending)
             val status = ended.transaction.status
             val reply = SessionReply.ServerFailed(failed.code, failed.message, status, position = null)
-            Replies.pending(turn, ended, pending, reply)
+            SessionReplies.pending(turn, ended, pending, reply)
         }
     }
 
     /** Handles a failed statement of a running transaction. */
-    fun inTransaction(turn: Turn, statement: AnsweredStatement, failed: ServerAnswer.Result.Failed) {
+    fun inTransaction(turn: Reduction, statement: AnsweredStatement, failed: ServerAnswer.Result.Failed) {
         val running = statement.running ?: return
         val (session, pending) = statement.session to statement.pending
         val stillOpen = statement.answer.status == TransactionStatus.OPEN
@@ -57,23 +57,23 @@
         when {
             overloaded && stillOpen && hasTime(turn, pending) -> {
                 turn.count(SessionCounter.RETRIES, "overloaded")
-                val at = turn.now + turn.settings.requests.pause
-                val repeating = Phase.Repeating(statement.connection.number, at)
+                val at = turn.now + turn.settings.statements.retryPause
+                val repeating = Phase.AwaitingRetry(statement.connection.number, at)
                 turn.put(session.copy(pending = pending.copy(phase = repeating)))
             }
             stillOpen && !statement.commits && !failed.failure.notRun ->
                 reply(turn, session.copy(transaction = running.copy(usedAt = turn.now)), statement, failed)
             else -> {
-                Answers.giveBack(turn, statement.connection, statement.answer)
+                ServerAnswers.giveBack(turn, statement.connection, statement.answer)
                 reply(turn, session.copy(transaction = pending.transactionAfterFailure), statement, failed)
             }
         }
     }
 
     /** Whether another try may start: attempts are left, and the statement's time is not over. */
-    fun hasTime(turn: Turn, pending: PendingStatement): Boolean {
-        val changing = Primaries.changing(turn.group(pending.route.group))
-        return pending.attempts < turn.settings.requests.attempts && turn.now < pending.waitsUntil(turn, changing)
+    fun hasTime(turn: Reduction, pending: PendingStatement): Boolean {
+        val changing = PrimaryStatus.changing(turn.group(pending.route.group))
+        return pending.attempts < turn.settings.statements.maxAttempts && turn.now < pending.waitsUntil(turn, changing)
     }
 
     /** Whether running the statement twice does no harm. */
@@ -87,13 +87,13 @@
         }
 
     private fun reply(
-        turn: Turn,
+        turn: Reduction,
         session: Session,
         statement: AnsweredStatement,
         failed: ServerAnswer.Result.Failed,
     ) {
         val status = session.transaction.status
         val reply = SessionReply.ServerFailed(failed.code, failed.message, status, statement.answer.position)
-        Replies.pending(turn, session, statement.pending, reply)
+        SessionReplies.pending(turn, session, statement.pending, reply)
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/Sending.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementSending.kt
@@ -4,7 +4,7 @@
 import dev.hibiscusreach.core.model.Position
 import dev.hibiscusreach.sessions.model.CallerStatement
 import dev.hibiscusreach.sessions.model.ServerStatement
-import dev.hibiscusreach.sessions.state.Outstanding.Purpose
+import dev.hibiscusreach.sessions.state.OutstandingStatement.Purpose
 import dev.hibiscusreach.sessions.state.PendingStatement
 import dev.hibiscusreach.sessions.state.PendingStatement.Phase
 import dev.hibiscusreach.sessions.state.ServerConnection
@@ -12,9 +12,9 @@
 import dev.hibiscusreach.sessions.state.Transaction
 
 /** Sends callers' statements on connections that their sessions hold. */
-internal object Sending {
+internal object StatementSending {
     /** Sends a statement on the connection of its transaction. */
-    fun inTransaction(turn: Turn, session: Session, pending: PendingStatement, running: Transaction.Running) {
+    fun inTransaction(turn: Reduction, session: Session, pending: PendingStatement, running: Transaction.Running) {
         val connection = turn.state.connections[running.connection]
         val commits = pending.commits && running.wrote
         when {
@@ -23,7 +23,7 @@
                 abort(turn, session, pending, message)
             }
             commits && !mayCommit(turn, connection) -> {
-                PoolUse.rollback(turn, connection.number)
+                ConnectionCheckout.rollback(turn, connection.number)
                 abort(turn, session, pending, "the transaction's server is not the primary any more")
             }
             // The position was checked when the transaction began.
@@ -33,7 +33,7 @@
 
     /** Sends the statement itself on a connection that the session holds. */
     fun statement(
-        turn: Turn,
+        turn: Reduction,
         session: Session,
         pending: PendingStatement,
         connection: ServerConnection,
@@ -44,7 +44,7 @@
         val epoch = turn.group(connection.group).record?.epoch ?: 0
         val sent = pending.copy(phase = Phase.Sent(connection.number, turn.now, epoch), attempts = pending.attempts + 1)
         turn.put(session.copy(pending = sent))
-        PoolUse.send(turn, prepared, setup.map { Purpose.SETUP to it } + (Purpose.CALLER to text))
+        ConnectionCheckout.send(turn, prepared, setup.map { Purpose.SETUP to it } + (Purpose.CALLER to text))
     }
 
     private fun serverStatement(
@@ -57,19 +57,19 @@
             is CallerStatement.Execute ->
                 ServerStatement.Execute(
                     identifier = pending.identifier,
-                    shape = session.prepared.getValue(statement.name),
+                    prepared = session.prepared.getValue(statement.name),
                     arguments = statement.arguments,
                     minimumPosition = minimumPosition,
                 )
             else -> ServerStatement.Commit(pending.identifier)
         }
 
-    private fun mayCommit(turn: Turn, connection: ServerConnection): Boolean =
-        Primaries.usable(turn, turn.group(connection.group), turn.settings.leases.writeMargin) == connection.server
+    private fun mayCommit(turn: Reduction, connection: ServerConnection): Boolean =
+        PrimaryStatus.usable(turn, turn.group(connection.group), turn.settings.leases.writeMargin) == connection.server
 
-    private fun abort(turn: Turn, session: Session, pending: PendingStatement, message: String) {
+    private fun abort(turn: Reduction, session: Session, pending: PendingStatement, message: String) {
         val next = session.copy(transaction = pending.transactionAfterFailure)
-        val reply = Replies.refusal(turn, next, ErrorKind.TRANSACTION_ENDED, message)
-        Replies.pending(turn, next, pending, reply)
+        val reply = SessionReplies.refusal(turn, next, ErrorKind.TRANSACTION_ENDED, message)
+        SessionReplies.pending(turn, next, pending, reply)
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/SuccessorChoice.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/SuccessorChoice.kt
@@ -11,7 +11,7 @@
 /** Chooses the server that has received the most of the log. */
 internal object SuccessorChoice {
     /** Asks all servers of the group for their status. */
-    fun askStatus(turn: Turn, group: GroupView) {
+    fun askStatus(turn: Reduction, group: GroupView) {
         val change = group.change ?: return
         val term = group.record?.term?.next() ?: return
         val pauses = pausesReplicas(turn, group, change)
@@ -20,29 +20,29 @@
             val command = if (pauses && !isPrimary) ControlRequest.Pause(term.number) else ControlRequest.Status
             turn.emit(SessionEffect.SendControl(server, command))
         }
-        turn.put(group.copy(change = change.copy(repeatedAt = turn.now)))
+        turn.put(group.copy(change = change.copy(requestsSentAt = turn.now)))
     }
 
     /**
      * Whether the replicas are paused during the change. Paused replicas receive nothing more, so that no commit is
      * acknowledged beside the successor's log.
      */
-    fun pausesReplicas(turn: Turn, group: GroupView, change: PrimaryChange): Boolean =
+    fun pausesReplicas(turn: Reduction, group: GroupView, change: PrimaryChange): Boolean =
         commitsWaitForReplicas(turn, group) && !change.reason.planned
 
     /** The registered servers of the group that do not lead it. */
-    fun replicas(turn: Turn, group: GroupView): List<RegisteredServer> =
+    fun replicas(turn: Reduction, group: GroupView): List<RegisteredServer> =
         turn.servers(group.name).filter { it.name != group.record?.primary }
 
     /** The replica that has received the most, if it may take the group over. */
-    fun successor(turn: Turn, group: GroupView, change: PrimaryChange): ServerName? {
+    fun successor(turn: Reduction, group: GroupView, change: PrimaryChange): ServerName? {
         val candidate =
             replicas(turn, group)
                 .filter { !it.leaving && it.name !in change.rejected && it.name in change.statuses }
                 .sortedBy { ServerSelection.cost(turn, it).value }
                 .maxByOrNull { change.statuses.getValue(it.name).received }
                 ?.name
-        val waitedEnough = turn.now - change.phaseSince > turn.settings.changes.missingCommits
+        val waitedEnough = turn.now - change.phaseSince > turn.settings.changes.incompleteSuccessorDelay
         return candidate?.takeIf { waitedEnough || hasAllCommits(turn, group, change, it) }
     }
 
@@ -51,7 +51,7 @@
      * every replica has reported, or if the primary still reports how far its log goes: the successor then receives the
      * rest before it is promoted.
      */
-    fun hasAllCommits(turn: Turn, group: GroupView, change: PrimaryChange, candidate: ServerName): Boolean {
+    fun hasAllCommits(turn: Reduction, group: GroupView, change: PrimaryChange, candidate: ServerName): Boolean {
         val needsNoReplica = !commitsWaitForReplicas(turn, group) || isHandedOver(group, change)
         val record = group.record
         if (needsNoReplica || record == null) return needsNoReplica
@@ -66,7 +66,7 @@
         group.record?.let { change.statuses[it.primary]?.role } == ServerRole.PRIMARY
 
     /** Whether the operators want commits of the group to be acknowledged only after replicas have received them. */
-    fun commitsWaitForReplicas(turn: Turn, group: GroupView): Boolean {
+    fun commitsWaitForReplicas(turn: Reduction, group: GroupView): Boolean {
         val rule = turn.state.configuration?.groups?.get(group.name)
         return rule != null && rule.synchronousReplicas > 0
     }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/GroupView.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/GroupView.kt
@@ -91,16 +91,16 @@
     val asked: Set<Endpoint> = emptySet(),
     /** Whether the members were read after the intent was recorded. */
     val membersRead: Boolean = false,
-    val repeatedAt: MonotonicTime? = null,
+    val requestsSentAt: MonotonicTime? = null,
     val statuses: Map<ServerName, ServerStatus> = emptyMap(),
     val rejected: Set<ServerName> = emptySet(),
     val successor: ServerName? = null,
-    val duty: Duty? = null,
+    val promoterLock: PromoterLock? = null,
     val published: FleetRecord.Group? = null,
 )
 
 /** The right to order promotions. */
-data class Duty(val token: Long, val requestedAt: MonotonicTime)
+data class PromoterLock(val token: Long, val requestedAt: MonotonicTime)
 
 /** Steps of a [PrimaryChange]. */
 enum class ChangePhase { RECORDING, FENCING, INSPECTING, CATCHING_UP, ACQUIRING, PROMOTING, CONFIRMING, PUBLISHING }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/ServerConnection.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/ServerConnection.kt
@@ -6,7 +6,7 @@
 import dev.hibiscusreach.core.model.ServerName
 import dev.hibiscusreach.sessions.event.SessionNumber
 import dev.hibiscusreach.sessions.model.GroupName
-import dev.hibiscusreach.sessions.model.PreparedShape
+import dev.hibiscusreach.sessions.model.PreparedStatement
 import kotlinx.collections.immutable.PersistentList
 import kotlinx.collections.immutable.PersistentMap
 import kotlinx.collections.immutable.PersistentSet
@@ -23,18 +23,18 @@
     /** The session whose statement or transaction holds the connection. */
     val heldBy: SessionNumber? = null,
     val values: PersistentMap<String, String> = persistentMapOf(),
-    val prepared: PersistentSet<PreparedShape> = persistentSetOf(),
+    val prepared: PersistentSet<PreparedStatement> = persistentSetOf(),
     /** When something was last sent. */
     val usedAt: MonotonicTime? = null,
     /** Statements without an answer, oldest first. */
-    val outstanding: PersistentList<Outstanding> = persistentListOf(),
+    val outstanding: PersistentList<OutstandingStatement> = persistentListOf(),
 ) {
     /** Whether a session can take the connection. */
     val idle: Boolean get() = open && heldBy == null && outstanding.isEmpty()
 }
 
 /** A statement that a server has not answered yet. */
-data class Outstanding(
+data class OutstandingStatement(
     val purpose: Purpose,
     val sentAt: MonotonicTime,
     /** Whether the server was the primary under a valid lease when the statement was sent. */
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/Session.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/Session.kt
@@ -10,7 +10,7 @@
 import dev.hibiscusreach.sessions.event.SessionNumber
 import dev.hibiscusreach.sessions.model.CallerStatement
 import dev.hibiscusreach.sessions.model.GroupName
-import dev.hibiscusreach.sessions.model.PreparedShape
+import dev.hibiscusreach.sessions.model.PreparedStatement
 import dev.hibiscusreach.sessions.model.Route
 import dev.hibiscusreach.sessions.model.TransactionStatus
 import kotlinx.collections.immutable.PersistentMap
@@ -21,9 +21,9 @@
     val number: SessionNumber,
     val database: DatabaseName,
     val values: PersistentMap<String, String> = persistentMapOf(),
-    val prepared: PersistentMap<String, PreparedShape> = persistentMapOf(),
+    val prepared: PersistentMap<String, PreparedStatement> = persistentMapOf(),
     /** Where the session's latest commit stands; reads of the session must see it. */
-    val ownCommit: OwnCommit? = null,
+    val lastCommit: CommitPosition? = null,
     val transaction: Transaction = Transaction.None,
     val pending: PendingStatement? = null,
 ) {
@@ -32,7 +32,7 @@
 }
 
 /** Position of a session's latest commit. */
-data class OwnCommit(val group: GroupName, val position: Position)
+data class CommitPosition(val group: GroupName, val position: Position)
 
 /** The transaction of a session. */
 sealed interface Transaction {
@@ -105,6 +105,6 @@
         ) : Phase
 
         /** The server of the open transaction was overloaded; the statement goes to it again at [at]. */
-        data class Repeating(val connection: ConnectionNumber, val at: MonotonicTime) : Phase
+        data class AwaitingRetry(val connection: ConnectionNumber, val at: MonotonicTime) : Phase
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/SessionProxyState.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/SessionProxyState.kt
@@ -22,7 +22,7 @@
 
 /** The whole state of the decisions on sessions. */
 data class SessionProxyState(
-    val place: ProxyPlace,
+    val self: LocalProxy,
     val settings: SessionSettings = SessionSettings(),
     val configuration: RoutingConfiguration? = null,
     val serversKnown: Boolean = false,
@@ -70,7 +70,7 @@
     val reading: Boolean = false,
     /** Whether another read is wanted after the one in flight. */
     val readAgain: Boolean = false,
-    val lost: Boolean = false,
+    val storeLost: Boolean = false,
     /** When the promoter's record was first seen with its present revision. */
     val promoterSeenAt: MonotonicTime? = null,
     /** Peers that wait for the next read, with the time at which they asked. */
--- a/sessions/src/test/kotlin/dev/hibiscusreach/sessions/PrimaryChangeTest.kt
+++ b/sessions/src/test/kotlin/dev/hibiscusreach/sessions/PrimaryChangeTest.kt
@@ -360,7 +360,7 @@
     @Test
     fun `a lease is renewed through a peer while the store turns the proxy away`() {
         proxy.now += 9_000
-        proxy.feed(SessionEvent.FleetUnreadable("status 503"))
+        proxy.feed(SessionEvent.FleetReadFailed("status 503"))
         val asked = effects<SessionEffect.AskPeer>().single { it.request is PeerRequest.ReadFleet }
         val records = proxy.state.fleet.records.mapKeys { it.key.value }
         val answer = PeerOutcome.Answered(PeerAnswer.Fleet(records))
--- a/sessions/src/test/kotlin/dev/hibiscusreach/sessions/ProxyFixture.kt
+++ b/sessions/src/test/kotlin/dev/hibiscusreach/sessions/ProxyFixture.kt
@@ -32,7 +32,7 @@
 import dev.hibiscusreach.sessions.model.SessionReply
 import dev.hibiscusreach.sessions.model.StoredRecord
 import dev.hibiscusreach.sessions.model.TransactionStatus
-import dev.hibiscusreach.sessions.state.ProxyPlace
+import dev.hibiscusreach.sessions.state.LocalProxy
 import dev.hibiscusreach.sessions.state.SessionProxyState
 
 /** One proxy's decisions in simulated time, with a group of one primary and two replicas. */
@@ -45,7 +45,7 @@
     var now = 1_000L
     var state =
         SessionProxyState(
-            ProxyPlace(
+            LocalProxy(
                 identity = peers.first(),
                 peerEndpoint = endpoint("node-1"),
                 failureDomain = WEST,
@@ -152,8 +152,8 @@
             version = 1,
             routes =
             listOf(
-                route(ORDERS, Consistency.OwnWrites(Millis(2_500))),
-                route(STATUS, Consistency.Bounded(Millis(1_500))),
+                route(ORDERS, Consistency.ReadYourWrites(Millis(2_500))),
+                route(STATUS, Consistency.BoundedStaleness(Millis(1_500))),
                 route(SIGN_OFFS, Consistency.Primary),
             ).associateBy { it.database },
             groups = mapOf(GROUP to GroupRule(GROUP, connectionLimit, synchronousReplicas)),
--- a/sessions/src/test/kotlin/dev/hibiscusreach/sessions/RestartLoadTest.kt
+++ b/sessions/src/test/kotlin/dev/hibiscusreach/sessions/RestartLoadTest.kt
@@ -51,7 +51,7 @@
     fun `sessions are refused at once while the store is lost - guards against callers that wait for nothing`() {
         val started = ProxyFixture()
         started.session(1, SIGN_OFFS)
-        started.feed(SessionEvent.FleetUnreadable("no answer"))
+        started.feed(SessionEvent.FleetReadFailed("no answer"))
         started.pass(100)
         started.session(2, SIGN_OFFS)
         expectThat(effects<SessionEffect.RefuseSession>(started).map { it.session.value }).isEqualTo(listOf(1L, 2L))
--- a/sessions/src/test/kotlin/dev/hibiscusreach/sessions/SessionStatementTest.kt
+++ b/sessions/src/test/kotlin/dev/hibiscusreach/sessions/SessionStatementTest.kt
@@ -13,7 +13,7 @@
 import dev.hibiscusreach.sessions.event.SessionEvent
 import dev.hibiscusreach.sessions.event.SessionNumber
 import dev.hibiscusreach.sessions.model.CallerStatement
-import dev.hibiscusreach.sessions.model.PreparedShape
+import dev.hibiscusreach.sessions.model.PreparedStatement
 import dev.hibiscusreach.sessions.model.ServerFailure
 import dev.hibiscusreach.sessions.model.ServerStatement
 import dev.hibiscusreach.sessions.model.SessionReply
@@ -63,7 +63,7 @@
 
     @Test
     fun `a bounded read is refused when no server is known to be fresh - guards against stale reads`() {
-        proxy.feed(SessionEvent.FleetUnreadable("down"))
+        proxy.feed(SessionEvent.FleetReadFailed("down"))
         proxy.now += 10_001
         val session = proxy.session(1, STATUS)
         proxy.send(session, READ)
@@ -73,7 +73,7 @@
 
     @Test
     fun `no read of the newest data runs after the lease has ended - guards against a replaced primary`() {
-        proxy.feed(SessionEvent.FleetUnreadable("down"))
+        proxy.feed(SessionEvent.FleetReadFailed("down"))
         proxy.now += 10_001
         val session = proxy.session(1, SIGN_OFFS)
         proxy.send(session, READ)
@@ -108,11 +108,11 @@
         repeat(2) { proxy.complete(proxy.busyAt(PRIMARY)) }
         proxy.take()
         val second = proxy.session(2, SIGN_OFFS)
-        proxy.send(second, CallerStatement.Prepare("s1", PreparedShape(Access.READ, "q1")))
+        proxy.send(second, CallerStatement.Prepare("s1", PreparedStatement(Access.READ, "q1")))
         proxy.send(second, CallerStatement.Execute("s1", "a"))
         expectThat(sent())
             .contains(ServerStatement.Reset)
-            .contains(ServerStatement.Prepare(PreparedShape(Access.READ, "q1")))
+            .contains(ServerStatement.Prepare(PreparedStatement(Access.READ, "q1")))
     }
 
     @Test
