--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/SessionReducer.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/SessionReducer.kt
@@ -19,12 +19,12 @@
 import dev.hibiscusreach.sessions.part.StatementDeadlines
 import dev.hibiscusreach.sessions.state.SessionProxyState
 
-/** What the reduction of an event leads to. */
+/** The state after an event, and the effects to carry out in order. */
 data class SessionTransition(val state: SessionProxyState, val effects: List<SessionEffect>)
 
-/** All decisions on callers' sessions, as a pure function of the state and an event. */
+/** Handles callers' sessions, server connections and changes of primaries as a pure function of state and event. */
 object SessionReducer {
-    /** Reduces [timed] in [state]. */
+    /** Applies [timed] to [state]; has no side effects. */
     fun reduce(state: SessionProxyState, timed: TimedSessionEvent): SessionTransition {
         val reduction = Reduction(state, timed.now)
         handle(reduction, timed.event)
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/event/SessionEffect.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/event/SessionEffect.kt
@@ -15,9 +15,9 @@
 import dev.hibiscusreach.sessions.model.ServerStatement
 import dev.hibiscusreach.sessions.model.SessionReply
 
-/** Something that the reducer wants done outside. */
+/** A side effect that the process carries out after a reduction. */
 sealed interface SessionEffect {
-    /** Accepts a session. */
+    /** Tells a caller that its session is open. */
     data class AcceptSession(val session: SessionNumber) : SessionEffect
 
     /** Refuses a session and closes its connection. */
@@ -26,10 +26,10 @@
     /** Answers the outstanding statement of a session. */
     data class Reply(val session: SessionNumber, val reply: SessionReply) : SessionEffect
 
-    /** Closes a session; an outstanding statement gets no answer, which promises nothing about it. */
+    /** Closes a session. An outstanding statement gets no answer, so its outcome stays unknown to the caller. */
     data class CloseSession(val session: SessionNumber) : SessionEffect
 
-    /** Connects to a server. */
+    /** Opens a connection; it is then reported as opened, refused or lost. */
     data class OpenConnection(val connection: ConnectionNumber, val server: RegisteredServer) : SessionEffect
 
     /** Closes a connection; no event follows. */
@@ -53,13 +53,13 @@
     /** Answers a peer's request. */
     data class AnswerPeer(val number: PeerRequestNumber, val answer: PeerAnswer) : SessionEffect
 
-    /** Sends a command to a server on a connection of its own. */
+    /** Sends a command to a server on a separate connection. */
     data class SendControl(val server: RegisteredServer, val command: ControlRequest) : SessionEffect
 
-    /** Orders the platform to promote a server. [fencingToken] is higher than that of every earlier order. */
+    /** Requests the promotion of a server from the platform. [fencingToken] is higher than in every earlier request. */
     data class Promote(val group: GroupName, val server: ServerName, val fencingToken: Long) : SessionEffect
 
-    /** Subscribes [subject] to the time [delay] from now, in place of its earlier subscription. */
+    /** Starts the timer of [subject], which fires after [delay]; a timer of [subject] that is running is replaced. */
     data class StartTimer(val subject: TimerSubject, val delay: Millis) : SessionEffect
 
     /** Writes a log line. */
@@ -71,14 +71,14 @@
     /** Records how long a statement took. */
     data class Observe(val kind: String, val duration: Millis) : SessionEffect
 
-    /** Accepts no more sessions; those that are open go on. */
+    /** Stops accepting sessions; open sessions continue. */
     data object StopListening : SessionEffect
 
     /** Ends the process. */
     data object Exit : SessionEffect
 }
 
-/** The counters of the reducer. */
+/** Counters of the reducer, each with its metric name and the key of its label. */
 enum class SessionCounter(val metric: String, val label: String) {
     STATEMENTS("hibiscusreach.session.statements", "result"),
     RETRIES("hibiscusreach.session.retries", "reason"),
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/event/SessionEvent.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/event/SessionEvent.kt
@@ -26,19 +26,19 @@
 @JvmInline
 value class PeerRequestNumber(val value: Long)
 
-/** Subjects of the timer service. */
+/** What a timer is for; there is at most one running timer for each subject. */
 enum class TimerSubject {
     /** Deadlines of statements and transactions. */
     REQUESTS,
 
-    /** Head positions, suspicion and changes of primaries. */
+    /** Checks of servers, peers and primaries, and the progress of changes of primaries. */
     GROUPS,
 
-    /** The lease on the group records. */
+    /** Renewal of the lease on the group records. */
     LEASE,
 }
 
-/** Something that happened, as input of the reducer. */
+/** An input of the reducer. */
 sealed interface SessionEvent {
     /** The process has started. */
     data object Started : SessionEvent
@@ -46,7 +46,7 @@
     /** A caller asks for a session. */
     data class SessionRequested(val session: SessionNumber, val database: DatabaseName) : SessionEvent
 
-    /** A caller sent a statement; the earlier one has been answered. */
+    /** A caller sent a statement; its previous one has been answered. */
     data class StatementArrived(
         val session: SessionNumber,
         val identifier: String,
@@ -83,21 +83,21 @@
     /** A write of a fleet record has ended. */
     data class FleetWritten(val key: FleetKey, val outcome: WriteOutcome) : SessionEvent
 
-    /** A peer asks something. */
+    /** A peer sent a request, which needs an answer. */
     data class PeerAsked(val number: PeerRequestNumber, val request: PeerRequest) : SessionEvent
 
-    /** A peer answered, or failed to. */
+    /** A request to a peer was answered or failed. */
     data class PeerAnswered(val peer: Endpoint, val request: PeerRequest, val outcome: PeerOutcome) : SessionEvent
 
     /** A control command to a server has ended. [status] is null if it failed. */
     data class ControlAnswered(val server: ServerName, val command: ControlRequest, val status: ServerStatus?) :
         SessionEvent
 
-    /** The platform answered a promotion order. */
+    /** The platform answered a promotion request. */
     data class PromotionAnswered(val group: GroupName, val server: ServerName, val outcome: PromotionOutcome) :
         SessionEvent
 
-    /** A subscribed time has come. */
+    /** The timer of [subject] has fired. */
     data class TimerFired(val subject: TimerSubject) : SessionEvent
 
     /** The process was asked to stop. */
@@ -107,19 +107,19 @@
 /** An event with the time at which it is handled. */
 data class TimedSessionEvent(val now: MonotonicTime, val event: SessionEvent)
 
-/** How a write to the store ended. */
+/** Outcome of a conditional write to the store. */
 sealed interface WriteOutcome {
-    /** The record has [revision] now. */
+    /** The write took effect; the record has [revision] now. */
     data class Written(val revision: Long) : WriteOutcome
 
-    /** The record had another revision. */
+    /** The record had another revision than expected; nothing was written. */
     data object Conflict : WriteOutcome
 
     /** No answer; the write may take effect later. */
     data object Unknown : WriteOutcome
 }
 
-/** How a request to a peer ended. */
+/** Outcome of a request to a peer. */
 sealed interface PeerOutcome {
     /** The peer answered. */
     data class Answered(val answer: PeerAnswer) : PeerOutcome
@@ -131,7 +131,7 @@
     data object Silent : PeerOutcome
 }
 
-/** How an order to promote ended. */
+/** Outcome of a promotion request. */
 enum class PromotionOutcome { ACCEPTED, REJECTED, UNKNOWN }
 
 /** A command to one server outside of any session. */
@@ -139,12 +139,12 @@
     /** Asks for the status. */
     data object Status : ControlRequest
 
-    /** Makes a primary of a term below [term] a replica. */
+    /** Demotes the server to a replica if it is the primary of a term below [term]. */
     data class StepDown(val term: Long) : ControlRequest
 
-    /** Stops a replica from receiving until it is promoted or resumed. */
+    /** Stops a replica from receiving the log until it is promoted or resumed. */
     data class Pause(val term: Long) : ControlRequest
 
-    /** Lets a paused replica receive again. */
+    /** Lets a paused replica receive the log again. */
     data object Resume : ControlRequest
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/model/CallerStatement.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/model/CallerStatement.kt
@@ -16,21 +16,21 @@
     /** Sets a session value. */
     data class SetValue(val name: String, val value: String) : CallerStatement
 
-    /** Gives [shape] a name within the session. */
+    /** Prepares a statement as [name] within the session. */
     data class Prepare(val name: String, val prepared: PreparedStatement) : CallerStatement
 
-    /** Forgets a prepared name. */
+    /** Removes the statement prepared as [name] from the session. */
     data class Deallocate(val name: String) : CallerStatement
 
-    /** Runs text as it stands at a server. */
+    /** Runs [text] unchanged at a server. */
     data class Run(val access: Access, val text: String) : CallerStatement
 
     /** Runs the statement prepared as [name]. */
     data class Execute(val name: String, val arguments: String) : CallerStatement
 
-    /** Text that is none of the above. */
+    /** Text that is no valid statement; [reason] is told to the caller. */
     data class Unknown(val reason: String) : CallerStatement
 }
 
-/** What a prepared name stands for. */
+/** A prepared statement without its arguments. */
 data class PreparedStatement(val access: Access, val text: String)
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/model/FleetRecords.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/model/FleetRecords.kt
@@ -7,14 +7,14 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** Identity of one run of a proxy. A restart keeps the node's name and has another incarnation. */
+/** Identity of one proxy process. A restart keeps [node] and gets another [incarnation]. */
 @Serializable
 data class ProxyIdentity(val node: String, val incarnation: Long)
 
 /** A record that proxies share through the platform's store. */
 @Serializable
 sealed interface FleetRecord {
-    /** Who leads a group. Every change of primary has a higher [epoch]. */
+    /** The primary of a group. Every change of primary increases [epoch]. */
     @Serializable
     @SerialName("group")
     data class Group(
@@ -22,14 +22,14 @@
         val epoch: Long,
         val term: Term,
         val primary: ServerName,
-        /** The proxy that replaces the primary; null while the primary is in office. */
+        /** The proxy that is replacing the primary; null while no change is in progress. */
         val changedBy: ProxyIdentity? = null,
         /**
-         * The replicas when the change began, where commits wait for replicas. Any of them may hold acknowledged
-         * commits that the others lack, also if it has left since.
+         * The replicas at the start of the change; empty if commits do not wait for replicas. Each of them may hold
+         * acknowledged commits that the others lack, even if it has been removed since.
          */
         val replicas: Set<ServerName> = emptySet(),
-        /** Position that the successor must have received because of replicas that left before the change. */
+        /** Minimum position of the successor's log, because of replicas that were removed before the change. */
         val floor: Position? = null,
     ) : FleetRecord
 
@@ -39,11 +39,11 @@
     data class Proxy(
         val identity: ProxyIdentity,
         val peerEndpoint: Endpoint,
-        /** Whether another proxy found this one silent. It registers again if it still runs. */
+        /** Whether another proxy removed this one as unresponsive. It registers again if it still runs. */
         val expelled: Boolean = false,
     ) : FleetRecord
 
-    /** The proxy that may order promotions; null if none may. */
+    /** The proxy that holds the promoter lock and so may request promotions; null if the lock is free. */
     @Serializable
     @SerialName("promoter")
     data class Promoter(val holder: ProxyIdentity?) : FleetRecord
@@ -64,7 +64,7 @@
     }
 }
 
-/** A record with its revision in the store; revisions of all records increase together. */
+/** A record with its revision; a later write of any record in the store has a higher revision. */
 @Serializable
 data class StoredRecord(val record: FleetRecord, val revision: Long)
 
@@ -81,11 +81,11 @@
     @SerialName("sighting")
     data class Sighting(val server: ServerName) : PeerRequest
 
-    /** Asks for the fleet's records as the store shows them to a read that is sent after this request. */
+    /** Asks for the fleet's records; the receiver must send its read to the store after this request has arrived. */
     @Serializable
     @SerialName("readFleet")
     data class ReadFleet(
-        /** Time of the request by the sender's clock, which means nothing to the receiver. */
+        /** Time of the request by the sender's monotonic clock; not comparable with the receiver's clock. */
         val askedAtMillis: Long,
     ) : PeerRequest
 
@@ -94,7 +94,7 @@
     @SerialName("ping")
     data object Ping : PeerRequest
 
-    /** Tells that a group has a new primary. */
+    /** Announces a group's new primary. */
     @Serializable
     @SerialName("publish")
     data class Publish(val record: FleetRecord.Group, val revision: Long) : PeerRequest
@@ -108,12 +108,12 @@
     @SerialName("done")
     data object Done : PeerAnswer
 
-    /** The sender runs, but does not reach the store. */
+    /** The sender runs, but cannot reach the store. */
     @Serializable
     @SerialName("storeLost")
     data object StoreLost : PeerAnswer
 
-    /** The records that a read of the sender has shown. */
+    /** The records as the sender has read them from the store. */
     @Serializable
     @SerialName("fleet")
     data class Fleet(val records: Map<String, StoredRecord>) : PeerAnswer
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/model/RegisteredServer.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/model/RegisteredServer.kt
@@ -13,16 +13,16 @@
     val group: GroupName,
     val endpoint: Endpoint,
     val failureDomain: FailureDomainName,
-    /** Statements that the server runs at the same time. */
+    /** Maximum number of statements that the server runs concurrently. */
     val slots: Int,
     val leaving: Boolean,
-    /** The role in which the server sees itself. */
+    /** The role that the server reports. */
     val role: ServerRole,
-    /** Start of the server process, in milliseconds since the epoch; tells two runs of a server apart. */
+    /** Start of the server process in Unix milliseconds; a restart of the server changes it. */
     val startedAtMillis: Long,
 )
 
-/** What a server reports when it is asked for its status. */
+/** The status that a server reports. */
 data class ServerStatus(
     val role: ServerRole,
     val term: Term,
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/model/RoutingConfiguration.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/model/RoutingConfiguration.kt
@@ -3,7 +3,7 @@
 import dev.hibiscusreach.core.model.DatabaseName
 import dev.hibiscusreach.core.model.Millis
 
-/** How fresh the reads of a route are. */
+/** Consistency level of the reads of a route. */
 sealed interface Consistency {
     /** Reads see every acknowledged commit. */
     data object Primary : Consistency
@@ -23,29 +23,29 @@
     override fun toString(): String = value
 }
 
-/** What operators decide for one database. */
+/** The operators' settings for one database. */
 data class Route(
     val database: DatabaseName,
     val group: GroupName,
     val consistency: Consistency,
-    /** Time for one statement, counted from its arrival. */
+    /** Timeout of a statement, counted from its arrival. */
     val statementTimeout: Millis,
-    /** Time within which an operation should be complete. */
+    /** Target latency of a statement. */
     val latencyObjective: Millis,
-    /** 0 is the highest. */
+    /** Priority among waiting statements; 0 is the highest. */
     val priority: Int,
 )
 
-/** What operators decide for one group. */
+/** The operators' settings for one group. */
 data class GroupRule(
     val name: GroupName,
-    /** Connections that each server of the group accepts from all callers together. */
+    /** Maximum number of connections that each server of the group accepts in total. */
     val connectionLimit: Int,
-    /** Replicas that hold a commit before it is acknowledged. */
+    /** Number of replicas that must have received a commit before it is acknowledged. */
     val synchronousReplicas: Int,
 )
 
-/** The operators' configuration in the version in force. */
+/** The operators' configuration at [version]. */
 data class RoutingConfiguration(
     val version: Long,
     val routes: Map<DatabaseName, Route>,
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/model/ServerStatement.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/model/ServerStatement.kt
@@ -4,13 +4,13 @@
 
 /** A statement sent to a backend server. */
 sealed interface ServerStatement {
-    /** Clears session values and prepared shapes. */
+    /** Clears session values and prepared statements. */
     data object Reset : ServerStatement
 
     /** Sets a session value. */
     data class SetValue(val name: String, val value: String) : ServerStatement
 
-    /** Prepares a shape under a name that is derived from it, so that sessions can share it. */
+    /** Prepares a statement under a name that is derived from its content, so that sessions can share it. */
     data class Prepare(val prepared: PreparedStatement) : ServerStatement
 
     /** Opens a transaction at a server that has applied [minimumPosition]. */
@@ -28,7 +28,7 @@
     /** A caller's text, unchanged. */
     data class Run(val identifier: String, val text: String, val minimumPosition: Position?) : ServerStatement
 
-    /** A caller's execution of a prepared shape. */
+    /** A caller's execution of a prepared statement. */
     data class Execute(
         val identifier: String,
         val prepared: PreparedStatement,
@@ -40,7 +40,7 @@
 /** Transaction state of a connection, as the server reports it. */
 enum class TransactionStatus { NONE, OPEN, FAILED }
 
-/** The closed list of failures that a server reports. */
+/** Kinds of failure that a server reports. */
 enum class ServerFailure(
     /** Whether the statement is known not to have run. */
     val notRun: Boolean,
@@ -66,10 +66,10 @@
 ) {
     /** How the statement ended. */
     sealed interface Result {
-        /** The statement was carried out; [proof] is the server's and goes to the caller unchanged. */
+        /** The statement was carried out; the server's [proof] is passed to the caller unchanged. */
         data class Completed(val proof: String) : Result
 
-        /** The statement failed; [code] and [message] are the server's own words. */
+        /** The statement failed; [code] and [message] are passed to the caller unchanged. */
         data class Failed(val failure: ServerFailure, val code: String, val message: String) : Result
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/model/SessionReply.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/model/SessionReply.kt
@@ -4,7 +4,7 @@
 import dev.hibiscusreach.core.model.Millis
 import dev.hibiscusreach.core.model.Position
 
-/** What a caller gets for one statement. */
+/** The reply to one statement of a caller. */
 sealed interface SessionReply {
     /** Transaction state of the session after the statement. */
     val status: TransactionStatus
@@ -12,7 +12,7 @@
     /** The statement was carried out. */
     data class Completed(
         val rows: List<String> = emptyList(),
-        /** The server's proof; null if the proxy answered by itself. */
+        /** The server's proof; null if the proxy answered without a server. */
         val proof: String? = null,
         override val status: TransactionStatus,
         val position: Position? = null,
@@ -23,11 +23,11 @@
         val kind: ErrorKind,
         val message: String,
         override val status: TransactionStatus,
-        /** When the caller may try again; null if there is no advice. */
+        /** Delay after which the caller may retry; null if there is no advice. */
         val retryAfter: Millis? = null,
     ) : SessionReply
 
-    /** The server's own failure, passed on. */
+    /** The server reported a failure, which is passed on unchanged. */
     data class ServerFailed(
         val code: String,
         val message: String,
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/GroupView.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/GroupView.kt
@@ -12,45 +12,45 @@
 import kotlinx.collections.immutable.PersistentList
 import kotlinx.collections.immutable.persistentListOf
 
-/** What this proxy believes of a group. */
+/** What this proxy knows about a group. */
 data class GroupView(
     val name: GroupName,
     val record: FleetRecord.Group? = null,
     val revision: Long = 0,
     val adoptedAt: MonotonicTime? = null,
-    /** Newest last. */
+    /** Latest known log positions of the primary, newest last. */
     val heads: PersistentList<HeadSample> = persistentListOf(),
     val fence: Fence? = null,
     val suspicion: Suspicion? = null,
     val change: PrimaryChange? = null,
     /** No change is started before this time. */
     val changeAfter: MonotonicTime? = null,
-    /** When the server that calls itself the primary was last asked for its term, before a record exists. */
+    /** When the server that reports the primary role was last asked for its status; used until a record exists. */
     val statusAskedAt: MonotonicTime? = null,
-    /** When the proxy that changes the primary was last asked whether it runs. */
+    /** When the proxy that is replacing the primary was last pinged. */
     val changerAskedAt: MonotonicTime? = null,
-    /** When that proxy last answered that it goes on. */
+    /** When that proxy last answered that it runs and reaches the store. */
     val changerSeenAt: MonotonicTime? = null,
-    /** When replicas were first missing, as long as no later head position of the primary is known. */
+    /** When removed replicas were first missing; kept until a later log position of the primary is known. */
     val departed: Map<ServerName, MonotonicTime> = emptyMap(),
-    /** Every commit that waited for a replica which has left is at or before this position. */
+    /** Every commit that waited for a replica which has been removed is at or before this position. */
     val departedFloor: Position? = null,
 )
 
 /** Every commit that was acknowledged before [sentAt] is at or before [position]. */
 data class HeadSample(val sentAt: MonotonicTime, val position: Position)
 
-/** The primary before [epoch] must not be used any more. */
+/** Forbids the use of the primary that served before [epoch]. */
 data class Fence(
     val epoch: Long,
     val since: MonotonicTime,
     val planned: Boolean,
-    /** Whether nothing sent to the primary is trusted any more; peers may rely on it. */
+    /** Whether writes sent to the primary are no longer reported as successful; only then is the fence confirmed. */
     val settled: Boolean = false,
     val waiting: PersistentList<PeerRequestNumber> = persistentListOf(),
 )
 
-/** The primary seems to have failed. */
+/** A reason to replace the primary that is still to be confirmed, with the reports of the peers. */
 data class Suspicion(
     val since: MonotonicTime,
     val reason: ChangeReason,
@@ -65,14 +65,14 @@
     UNREGISTERED("the primary is not registered"),
     REFUSING("the primary's host refuses connections"),
     SILENT("the primary does not answer"),
-    DEPOSED("the primary calls itself a replica"),
+    DEPOSED("the primary reports the replica role"),
     ABANDONED("the proxy that replaces the primary makes no progress"),
     ;
 
-    /** Whether the primary still works and hands over. */
+    /** Whether the primary still runs and hands its log over. */
     val planned: Boolean get() = this == LEAVING
 
-    /** Whether the sightings of other proxies decide. */
+    /** Whether other proxies are asked first if they reach the primary. */
     val needsSightings: Boolean get() = this == UNREGISTERED || this == REFUSING || this == SILENT
 }
 
@@ -81,16 +81,17 @@
     val reason: ChangeReason,
     val phase: ChangePhase,
     val phaseSince: MonotonicTime,
-    /** The record that states the intent, until it is known to be written. */
+    /** The record that declares the change in the store. */
     val intent: FleetRecord.Group? = null,
-    /** When the intent was known to be recorded; leases that began before end a lease duration later. */
+    /** When the write of [intent] was confirmed; leases that began earlier expire within one lease duration. */
     val recordedAt: MonotonicTime? = null,
     /** Peers that have not confirmed the fence. */
     val unfenced: Set<Endpoint> = emptySet(),
     /** Peers that were known when the fence began. */
     val asked: Set<Endpoint> = emptySet(),
-    /** Whether the members were read after the intent was recorded. */
+    /** Whether the registered proxies were read after the write of [intent]. */
     val membersRead: Boolean = false,
+    /** When the requests of the current phase were last sent. */
     val requestsSentAt: MonotonicTime? = null,
     val statuses: Map<ServerName, ServerStatus> = emptyMap(),
     val rejected: Set<ServerName> = emptySet(),
@@ -99,8 +100,8 @@
     val published: FleetRecord.Group? = null,
 )
 
-/** The right to order promotions. */
+/** The lock that allows promotion requests; [token] is its fencing token, or 0 until the lock is acquired. */
 data class PromoterLock(val token: Long, val requestedAt: MonotonicTime)
 
-/** Steps of a [PrimaryChange]. */
+/** Phases of a [PrimaryChange] in their usual order. */
 enum class ChangePhase { RECORDING, FENCING, INSPECTING, CATCHING_UP, ACQUIRING, PROMOTING, CONFIRMING, PUBLISHING }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/ServerConnection.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/ServerConnection.kt
@@ -24,12 +24,12 @@
     val heldBy: SessionNumber? = null,
     val values: PersistentMap<String, String> = persistentMapOf(),
     val prepared: PersistentSet<PreparedStatement> = persistentSetOf(),
-    /** When something was last sent. */
+    /** When a statement was last sent, or the connection was opened. */
     val usedAt: MonotonicTime? = null,
     /** Statements without an answer, oldest first. */
     val outstanding: PersistentList<OutstandingStatement> = persistentListOf(),
 ) {
-    /** Whether a session can take the connection. */
+    /** Whether the connection is available to any session. */
     val idle: Boolean get() = open && heldBy == null && outstanding.isEmpty()
 }
 
@@ -40,24 +40,25 @@
     /** Whether the server was the primary under a valid lease when the statement was sent. */
     val toPrimary: Boolean,
 ) {
-    /** What the statement is for. */
+    /** Why the statement was sent. */
     enum class Purpose { SETUP, BEGIN, CALLER, ROLLBACK, PROBE }
 }
 
-/** What is known of a server from its own answers. */
+/** Health of a server as observed by this proxy. */
 data class ServerHealth(
     val answeredAt: MonotonicTime? = null,
-    /** When the server was first asked something that it has not answered. */
+    /** When a request was first sent after the latest answer; null if all requests since then are answered. */
     val silentSince: MonotonicTime? = null,
-    /** Smoothed duration of its statements. */
+    /** Smoothed duration of its successful statements. */
     val latency: Millis? = null,
     /** No new connection before this time. */
     val connectAfter: MonotonicTime? = null,
+    /** Current backoff after failed connections. */
     val connectPause: Millis? = null,
     /** When its host last refused a connection. */
     val refusedAt: MonotonicTime? = null,
-    /** No reads that need a position before this time. */
+    /** No reads that need a minimum position are sent before this time. */
     val behindUntil: MonotonicTime? = null,
-    /** When it last reported that it does not lead its group. */
+    /** When it last reported that it is not the primary. */
     val notPrimaryAt: MonotonicTime? = null,
 )
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/Session.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/Session.kt
@@ -22,7 +22,7 @@
     val database: DatabaseName,
     val values: PersistentMap<String, String> = persistentMapOf(),
     val prepared: PersistentMap<String, PreparedStatement> = persistentMapOf(),
-    /** Where the session's latest commit stands; reads of the session must see it. */
+    /** The session's latest commit; reads with read-your-writes consistency must see it. */
     val lastCommit: CommitPosition? = null,
     val transaction: Transaction = Transaction.None,
     val pending: PendingStatement? = null,
@@ -31,12 +31,12 @@
     val running: Transaction.Running? get() = transaction as? Transaction.Running
 }
 
-/** Position of a session's latest commit. */
+/** Position of a commit in the log of [group]. */
 data class CommitPosition(val group: GroupName, val position: Position)
 
 /** The transaction of a session. */
 sealed interface Transaction {
-    /** State that the caller is told. */
+    /** Status that is reported to the caller. */
     val status: TransactionStatus
 
     /** No transaction is open. */
@@ -44,7 +44,7 @@
         override val status: TransactionStatus get() = TransactionStatus.NONE
     }
 
-    /** The caller has begun; no server takes part yet. */
+    /** The caller has opened the transaction, but no server has. */
     data class Begun(val readOnly: Boolean, val begunAt: MonotonicTime, val route: Route) : Transaction {
         override val status: TransactionStatus get() = TransactionStatus.OPEN
     }
@@ -59,12 +59,12 @@
         override val status: TransactionStatus get() = TransactionStatus.OPEN
     }
 
-    /** The transaction was ended by the proxy; the caller does not know yet. */
+    /** The proxy ended the transaction; the caller is told at its next statement. */
     data class Aborted(val kind: ErrorKind, val message: String) : Transaction {
         override val status: TransactionStatus get() = TransactionStatus.FAILED
     }
 
-    /** The transaction failed and the caller knows. */
+    /** The transaction failed and the caller has been told. */
     data object Failed : Transaction {
         override val status: TransactionStatus get() = TransactionStatus.FAILED
     }
@@ -82,13 +82,13 @@
     /** Servers that could not serve the statement. */
     val excluded: Set<ServerName> = emptySet(),
 ) {
-    /** Whether the statement ends its transaction. */
+    /** Whether the statement commits its transaction. */
     val commits: Boolean get() = statement is CallerStatement.Commit
 
-    /** State of a transaction in which the statement failed. */
+    /** State of the transaction after the statement has failed. */
     val transactionAfterFailure: Transaction get() = if (commits) Transaction.None else Transaction.Failed
 
-    /** How far the statement has come. */
+    /** Progress of a pending statement. */
     sealed interface Phase {
         /** Waits for a connection, not before [notBefore]. */
         data class Waiting(val notBefore: MonotonicTime? = null) : Phase
@@ -96,7 +96,7 @@
         /** The transaction is being opened at a server. */
         data class Beginning(val connection: ConnectionNumber, val sentAt: MonotonicTime) : Phase
 
-        /** A server has the statement. */
+        /** The statement was sent to a server. */
         data class Sent(
             val connection: ConnectionNumber,
             val sentAt: MonotonicTime,
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/SessionProxyState.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/SessionProxyState.kt
@@ -20,7 +20,7 @@
 import kotlinx.collections.immutable.persistentMapOf
 import kotlinx.collections.immutable.persistentSetOf
 
-/** The whole state of the decisions on sessions. */
+/** The complete state of the reducer. */
 data class SessionProxyState(
     val self: LocalProxy,
     val settings: SessionSettings = SessionSettings(),
@@ -37,7 +37,7 @@
     /** Sessions whose statement waits for a connection, in order of arrival. */
     val waiting: PersistentMap<GroupName, PersistentList<SessionNumber>> = persistentMapOf(),
     val connections: PersistentMap<ConnectionNumber, ServerConnection> = persistentMapOf(),
-    /** Connections of each server, so that a look-up does not pass over all of them. */
+    /** Connections by server, so that a lookup does not scan [connections]. */
     val pools: PersistentMap<ServerName, PersistentSet<ConnectionNumber>> = persistentMapOf(),
     val health: PersistentMap<ServerName, ServerHealth> = persistentMapOf(),
     val nextConnection: Long = 1,
@@ -46,18 +46,18 @@
     val listeningUntil: MonotonicTime? = null,
     val exited: Boolean = false,
 ) {
-    /** Whether new callers can be served here. */
+    /** Whether this proxy can serve new callers. */
     val ready: Boolean
         get() = stoppingSince == null && configuration != null && serversKnown && fleet.registered
 
-    /** The server called [name], if it is registered. */
+    /** The registered server with this name; null if there is none. */
     fun server(name: ServerName): RegisteredServer? = servers[name]?.server
 }
 
 /** A session that arrived before the first configuration. */
 data class ArrivingSession(val number: SessionNumber, val database: DatabaseName, val since: MonotonicTime)
 
-/** A registered server, and since when its entry is missing. */
+/** A registered server, and when its entry was first missing; null if the entry is present. */
 data class KnownServer(val server: RegisteredServer, val missingSince: MonotonicTime? = null)
 
 /** The fleet's records as last read. */
@@ -71,18 +71,18 @@
     /** Whether another read is wanted after the one in flight. */
     val readAgain: Boolean = false,
     val storeLost: Boolean = false,
-    /** When the promoter's record was first seen with its present revision. */
+    /** When the promoter record was first seen with its current revision. */
     val promoterSeenAt: MonotonicTime? = null,
-    /** Peers that wait for the next read, with the time at which they asked. */
+    /** Peer requests to be answered from the next read, with their times of arrival. */
     val relays: Map<PeerRequestNumber, MonotonicTime> = emptyMap(),
-    /** When each expelled proxy was first seen as such; its lease ends a lease duration later. */
+    /** When each proxy was first seen as expelled; its lease has expired one lease duration later. */
     val expelledSince: Map<FleetKey, MonotonicTime> = emptyMap(),
-    /** What the other proxies answered to pings. */
+    /** Ping results of the other proxies. */
     val peers: Map<Endpoint, PeerView> = emptyMap(),
     val pingedAt: MonotonicTime? = null,
     val nextPing: Int = 0,
 ) {
-    /** The proxies that are not expelled, by their key; looked at for each statement that opens a connection. */
+    /** The proxies that are not expelled, by key. Cached, because every check of a connection limit needs them. */
     val members: Map<FleetKey, FleetRecord.Proxy> by lazy {
         records
             .mapNotNull { (key, stored) -> (stored.record as? FleetRecord.Proxy)?.let { key to it } }
@@ -91,5 +91,5 @@
     }
 }
 
-/** What a peer answered to pings. */
+/** Ping results of one peer. */
 data class PeerView(val answeredAt: MonotonicTime?, val misses: Int = 0, val missingSince: MonotonicTime? = null)
