--- a/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationPull.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/configuration/ConfigurationPull.kt
@@ -3,7 +3,7 @@
 import dev.hibiscusreach.core.model.Configuration
 import dev.hibiscusreach.core.model.Millis
 import dev.hibiscusreach.core.model.NodeIdentity
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 import kotlinx.collections.immutable.PersistentMap
 import kotlinx.collections.immutable.persistentMapOf
 
@@ -18,6 +18,6 @@
 ) {
     internal companion object {
         /** Timeout for one page. A full frame takes up to 400 ms over the link between regions. */
-        val TIMEOUT: Millis = 1.inSeconds
+        val TIMEOUT: Millis = 1.seconds
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/membership/UrgentGossip.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/membership/UrgentGossip.kt
@@ -11,7 +11,7 @@
     private val pings = Pings(context)
 
     /** Announces that this process is draining, once when its shutdown begins. */
-    fun drainAdvanced(state: ProxyState, phase: DrainPhase): Step =
+    fun drainPhaseChanged(state: ProxyState, phase: DrainPhase): Step =
         if (phase == DrainPhase.SERVING || state.membership.draining) {
             Step(state)
         } else {
