--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/ControlCalls.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/ControlCalls.kt
@@ -8,52 +8,56 @@
 import dev.hibiscusreach.core.model.MonotonicTime
 import dev.hibiscusreach.core.model.ServerName
 
-/** Takes in the answer to a control command. */
-internal fun GroupsTurn.controlAnswered(event: Event.ControlAnswered) {
-    val call = endCall(event.call) ?: return
-    // An endpoint that was given to another server answers with that server's name.
+/** Applies the answer to a control command to the group that the command belongs to. */
+internal fun GroupsStepBuilder.handleControlAnswer(event: Event.ControlAnswered) {
+    val call = completeCall(event.call) ?: return
+    // An endpoint that was reassigned to another server answers with the name of that server.
     if (event.answer.status.server != call.server) {
-        serverFailed(call.server, ConnectionFailure.BROKEN, call.sentAt)
+        handleServerFailure(call.server, ConnectionFailure.BROKEN, call.sentAt)
         return
     }
-    observe(call.database, event.answer.status, call.sentAt)
+    observeStatus(call.database, event.answer.status, call.sentAt)
     when (val command = call.command) {
         is ControlCommand.Probe ->
-            update(call.database) { it.withHealth(call.server) { known -> known.withLatency(now - call.sentAt) } }
-        is ControlCommand.Confirm -> confirmEnded(call, event.answer is ControlAnswer.Confirmed)
-        is ControlCommand.Fence -> fenceAnswered(call, command, event.answer)
-        is ControlCommand.Promote -> promoteAnswered(call, command, event.answer)
-        is ControlCommand.Follow -> if (event.answer is ControlAnswer.Confirmed) followConfirmed(call, command)
+            update(call.database) { it.withHealth(call.server) { health -> health.withLatency(now - call.sentAt) } }
+        is ControlCommand.Confirm -> handleConfirmEnd(call, event.answer is ControlAnswer.Confirmed)
+        is ControlCommand.Fence -> handleFenceAnswer(call, command, event.answer)
+        is ControlCommand.Promote -> handlePromoteAnswer(call, command, event.answer)
+        is ControlCommand.Follow -> if (event.answer is ControlAnswer.Confirmed) recordFollowing(call, command)
     }
 }
 
-/** Takes in that a control command was not answered. */
-internal fun GroupsTurn.controlFailed(event: Event.ControlFailed) {
-    val call = endCall(event.call) ?: return
-    serverFailed(call.server, event.failure, call.sentAt)
+/** Handles the failure of a control command, which may have run unless the connection was refused. */
+internal fun GroupsStepBuilder.handleControlFailure(event: Event.ControlFailed) {
+    val call = completeCall(event.call) ?: return
+    handleServerFailure(call.server, event.failure, call.sentAt)
     when (val command = call.command) {
-        is ControlCommand.Confirm -> confirmEnded(call, confirmed = false)
-        is ControlCommand.Promote -> promoteFailed(call, command, event.failure)
+        is ControlCommand.Confirm -> handleConfirmEnd(call, confirmed = false)
+        is ControlCommand.Promote -> handlePromoteFailure(call, command, event.failure)
         else -> Unit
     }
 }
 
-/** Takes in that a connection or call made at [attemptedAt] failed. */
-internal fun GroupsTurn.serverFailed(server: ServerName, failure: ConnectionFailure, attemptedAt: MonotonicTime) {
+/** Records that a connection or call made at [attemptedAt] failed, and starts a failover if that is due. */
+internal fun GroupsStepBuilder.handleServerFailure(
+    server: ServerName,
+    failure: ConnectionFailure,
+    attemptedAt: MonotonicTime,
+) {
     val database = state.configuration.index.groupOf(server)?.name ?: return
     val before = group(database) ?: return
     update(database) {
-        it.withHealth(server) { known -> known.failed(failure, attemptedAt, settings.probePeriod) }
+        it.withHealth(server) { health -> health.failed(failure, attemptedAt, settings.probePeriod) }
     }
     if (before.isReachable(server, now) && group(database)?.isReachable(server, now) == false) {
         signal(Signal.GroupObserved(database))
     }
-    watchPrimary(database)
+    startFailoverIfNeeded(database)
 }
 
-private fun GroupsTurn.followConfirmed(call: ControlCall, command: ControlCommand.Follow) {
+private fun GroupsStepBuilder.recordFollowing(call: ControlCall, command: ControlCommand.Follow) {
     update(call.database) {
-        it.withHealth(call.server) { known -> known.copy(followedTerm = command.term) }
+        it.withHealth(call.server) { health -> health.copy(followedTerm = command.term) }
     }
     signal(Signal.GroupObserved(call.database))
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Durability.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Durability.kt
@@ -10,45 +10,45 @@
 import dev.hibiscusreach.core.model.ServerName
 import dev.hibiscusreach.core.model.milliseconds
 
-/** Longest wait of one Confirm command. A position that arrives later is confirmed by the next command. */
+/** Longest time a replica holds a Confirm command open. The next command covers positions that arrive later. */
 private val CONFIRM_WAIT = 500.milliseconds
 
-/** Answers as soon as a majority holds the position. */
-internal fun GroupsTurn.wantDurability(wanted: Signal.DurabilityWanted) {
-    val known = group(wanted.database)
+/** Answers the request at once if it can be decided, and as soon as a majority holds the position otherwise. */
+internal fun GroupsStepBuilder.awaitDurability(request: Signal.DurabilityWanted) {
+    val groupState = group(request.database)
     when {
-        known == null || wanted.waitUntil <= now || known.cannotSettle(wanted.position) ->
-            signal(Signal.DurabilityNotReached(wanted.attempt))
-        known.isSettled(wanted.position) -> signal(Signal.DurabilityReached(wanted.attempt))
+        groupState == null || request.waitUntil <= now || groupState.cannotBecomeDurable(request.position) ->
+            signal(Signal.DurabilityNotReached(request.attempt))
+        groupState.isDurable(request.position) -> signal(Signal.DurabilityReached(request.attempt))
         else -> {
-            val wait = DurabilityWait(wanted.position, wanted.waitUntil)
-            update(wanted.database) { it.copy(durabilityWaits = it.durabilityWaits.put(wanted.attempt, wait)) }
-            emit(Effect.StartTimer(TimerKey.DurabilityTimeout(wanted.attempt), wanted.waitUntil - now))
-            sendConfirms(wanted.database)
+            val wait = DurabilityWait(request.position, request.waitUntil)
+            update(request.database) { it.copy(durabilityWaits = it.durabilityWaits.put(request.attempt, wait)) }
+            emit(Effect.StartTimer(TimerKey.DurabilityTimeout(request.attempt), request.waitUntil - now))
+            sendConfirms(request.database)
         }
     }
 }
 
-/** Sends a Confirm of the highest wanted position to every replica that has none outstanding. */
-internal fun GroupsTurn.sendConfirms(database: DatabaseName) {
-    val known = group(database) ?: return
+/** Sends a Confirm of the highest position waited for to every reachable replica that has none outstanding. */
+internal fun GroupsStepBuilder.sendConfirms(database: DatabaseName) {
+    val groupState = group(database) ?: return
     val highest =
-        known.durabilityWaits.values
+        groupState.durabilityWaits.values
             .map { it.position }
-            .filter { it.term <= known.term }
+            .filter { it.term <= groupState.term }
             .maxOrNull() ?: return
-    val command = ControlCommand.Confirm(known.term, highest, confirmWait(known).value)
-    known.group.servers
+    val command = ControlCommand.Confirm(groupState.term, highest, confirmWait(groupState).value)
+    groupState.group.servers
         .map { it.name }
-        .filter { known.canConfirm(it, highest) && known.isReachable(it, now) }
+        .filter { groupState.canConfirm(it, highest) && groupState.isReachable(it, now) }
         .forEach { replica ->
-            update(database) { it.copy(confirms = it.confirms.put(replica, ConfirmChannel.OUTSTANDING)) }
-            sendControl(known, replica, command, CONFIRM_WAIT + settings.probeTimeout)
+            update(database) { it.copy(confirms = it.confirms.put(replica, ConfirmState.OUTSTANDING)) }
+            sendControl(groupState, replica, command, CONFIRM_WAIT + settings.probeTimeout)
         }
 }
 
-private fun GroupsTurn.confirmWait(known: GroupState): Millis {
-    val last = known.durabilityWaits.values.maxOf { it.waitUntil }
+private fun GroupsStepBuilder.confirmWait(groupState: GroupState): Millis {
+    val last = groupState.durabilityWaits.values.maxOf { it.waitUntil }
     return (last - now).coerceIn(0.milliseconds, CONFIRM_WAIT)
 }
 
@@ -58,19 +58,19 @@
         healthOf(server).term == term &&
         (heldInTerm(server) ?: Position.ORIGIN) < position
 
-// Entries of an older term after the start of the current one were written by a replaced primary only. Without a known
-// start nothing can be proved about entries that were not held by a majority before.
-private fun GroupState.cannotSettle(position: Position): Boolean =
-    position.term < term && !isSettled(position) && (termStart == null || position > termStart)
+// Only a replaced primary wrote entries of an older term that lie after the start of the current term. As long as that
+// start is unknown, nothing can be proved about older entries that no majority was known to hold.
+private fun GroupState.cannotBecomeDurable(position: Position): Boolean =
+    position.term < term && !isDurable(position) && (termStart == null || position > termStart)
 
-/** Lets the next Confirm go to the replica: at once, or from the next probe period on if this one failed. */
-internal fun GroupsTurn.confirmEnded(call: ControlCall, confirmed: Boolean) {
+/** Allows the next Confirm to the replica: at once, or from the next probe period on if this one failed. */
+internal fun GroupsStepBuilder.handleConfirmEnd(call: ControlCall, confirmed: Boolean) {
     val current = (call.command as ControlCommand.Confirm).term == group(call.database)?.term
     if (!current) return
     update(call.database) {
         val confirms = it.confirms
         it.copy(
-            confirms = if (confirmed) confirms.remove(call.server) else confirms.put(call.server, ConfirmChannel.PAUSED)
+            confirms = if (confirmed) confirms.remove(call.server) else confirms.put(call.server, ConfirmState.PAUSED)
         )
     }
     if (confirmed) sendConfirms(call.database)
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Failover.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Failover.kt
@@ -7,46 +7,47 @@
 import dev.hibiscusreach.core.model.NodeIdentity
 import dev.hibiscusreach.core.model.milliseconds
 
-/** Pause before the next try after a failed one, also while the platform is down. */
-internal val FAILOVER_PAUSE = 500.milliseconds
+/** Delay before a failed step is tried again, also while the platform is unavailable. */
+internal val FAILOVER_RETRY_DELAY = 500.milliseconds
 
-/** Sends [message] to a peer. */
-internal fun GroupsTurn.send(to: NodeIdentity, message: PeerMessage) = emit(Effect.SendPeerMessage(to, message))
+/** Sends [message] to the peer [to]; delivery is not guaranteed. */
+internal fun GroupsStepBuilder.sendToPeer(to: NodeIdentity, message: PeerMessage) =
+    emit(Effect.SendPeerMessage(to, message))
 
-/** Moves the failover of [database] to another step. */
-internal fun GroupsTurn.moveTo(database: DatabaseName, next: FailoverState) =
+/** Makes [next] the state of the failover of [database]. */
+internal fun GroupsStepBuilder.setFailover(database: DatabaseName, next: FailoverState) =
     update(database) { it.copy(failover = next) }
 
-/** Goes back to watching, and not into a new failover before the pause is over. */
-internal fun GroupsTurn.pause(database: DatabaseName) {
-    update(database) { it.copy(failover = FailoverState.Watching, failoverNotBefore = now + FAILOVER_PAUSE) }
+/** Cancels the failover and starts no new one within [FAILOVER_RETRY_DELAY]. */
+internal fun GroupsStepBuilder.backOff(database: DatabaseName) {
+    update(database) { it.copy(failover = FailoverState.Watching, failoverNotBefore = now + FAILOVER_RETRY_DELAY) }
     emit(Effect.CancelTimer(TimerKey.FailoverStep(database)))
 }
 
-/** Gives the claimed term up. A new try claims a higher one without waiting for another proposer. */
-internal fun GroupsTurn.abandonTerm(database: DatabaseName) {
-    pause(database)
+/** Abandons the claimed term. The next attempt claims a higher one without waiting for another proposer. */
+internal fun GroupsStepBuilder.abandonTerm(database: DatabaseName) {
+    backOff(database)
     update(database) { it.copy(highestTermSince = now - settings.failoverTimeout) }
 }
 
-/** Ends the failover because a primary of the current term is known; records it if this process promoted it. */
-internal fun GroupsTurn.concludeFailover(database: DatabaseName) {
-    val known = group(database) ?: return
-    val failover = known.failover
-    if (failover is FailoverState.Promoting && failover.proposedTerm == known.term) {
+/** Ends the failover after a primary of the current term became known; records it if this process promoted it. */
+internal fun GroupsStepBuilder.endFailover(database: DatabaseName) {
+    val groupState = group(database) ?: return
+    val failover = groupState.failover
+    if (failover is FailoverState.Promoting && failover.proposedTerm == groupState.term) {
         finishPromotion(database, failover)
     } else {
-        moveTo(database, FailoverState.Watching)
+        setFailover(database, FailoverState.Watching)
         emit(Effect.CancelTimer(TimerKey.FailoverStep(database)))
     }
-    repairAll(database)
+    ensureAllFollowing(database)
 }
 
-/** Does what the failover's step does when its wait is over. */
-internal fun GroupsTurn.failoverStepDue(database: DatabaseName) {
+/** Continues the failover after the timer of its current step ran out. */
+internal fun GroupsStepBuilder.handleFailoverTimer(database: DatabaseName) {
     when (val failover = group(database)?.failover) {
-        is FailoverState.CollectingSightings -> weighSightings(database, failover.reports)
-        is FailoverState.AwaitingTurn -> takeTurn(database)
+        is FailoverState.CollectingSightings -> evaluateSightings(database, failover.reports)
+        is FailoverState.DelayingProposal -> proposeIfStillNeeded(database)
         is FailoverState.VerifyingClaim -> verifyClaim(database, failover)
         is FailoverState.Fencing -> continueFencing(database, failover)
         is FailoverState.Promoting -> continuePromotion(database, failover)
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/FailoverState.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/FailoverState.kt
@@ -9,54 +9,54 @@
 import kotlinx.collections.immutable.PersistentMap
 import kotlinx.collections.immutable.persistentMapOf
 
-/** The step of a database's failover that this process is in. */
+/** The state of one database's failover in this process. */
 internal sealed interface FailoverState {
-    /** The term that this process claimed or tries to claim; null before that. */
+    /** The term that this process has claimed or is claiming; null before the claim. */
     val proposedTerm: Term? get() = null
 
-    /** The platform call whose answer the step waits for. */
+    /** The platform call whose answer this state waits for. */
     val platformCall: PlatformCallNumber? get() = null
 
-    /** Nothing to do as long as the primary answers. */
+    /** No failover is in progress. */
     data object Watching : FailoverState
 
-    /** Waits for the other monitors to tell whether they see the primary. */
+    /** Waits for the reports of the other monitors on whether they reach the primary. */
     data class CollectingSightings(
         val asked: Set<NodeIdentity>,
         val reports: PersistentMap<NodeIdentity, Boolean> = persistentMapOf(),
     ) : FailoverState
 
-    /** Waits for the proposers of a lower rank. */
-    data class AwaitingTurn(val reports: PersistentMap<NodeIdentity, Boolean>) : FailoverState
+    /** Waits before proposing, so that proposers of a lower rank go first. */
+    data class DelayingProposal(val reports: PersistentMap<NodeIdentity, Boolean>) : FailoverState
 
-    /** Reads the group's object before the claim. */
+    /** Reads the group's object before claiming a term. */
     data class ReadingRecord(override val platformCall: PlatformCallNumber) : FailoverState
 
-    /** Claims the term by a conditional update. */
+    /** Claims the term by a conditional update of the group's object. */
     data class Claiming(
         override val platformCall: PlatformCallNumber,
         override val proposedTerm: Term,
         val expectedVersion: Long,
     ) : FailoverState
 
-    /** Reads the object again because the answer to the claim was lost; without a call while it pauses. */
+    /** Reads the object again because the answer to the claim was lost; without a call while it waits to retry. */
     data class VerifyingClaim(
         override val platformCall: PlatformCallNumber?,
         override val proposedTerm: Term,
         val expectedVersion: Long,
     ) : FailoverState
 
-    /** Collects a majority of servers that refuse every lower term. */
+    /** Fences a majority of the servers: a fenced server refuses every lower term. */
     data class Fencing(
         override val proposedTerm: Term,
         val version: Long,
         val startedAt: MonotonicTime,
-        /** The primary that is to be replaced; null if it works and only its term has to be renewed. */
-        val avoided: ServerName?,
+        /** The primary to replace; null if it works and only needs a new term. */
+        val primaryToReplace: ServerName?,
         val fenced: PersistentMap<ServerName, Position> = persistentMapOf(),
     ) : FailoverState
 
-    /** Makes [server] the primary. No other server may be promoted in the same term. */
+    /** Promotes [server]. No other server may be promoted in the same term. */
     data class Promoting(
         override val proposedTerm: Term,
         val version: Long,
@@ -64,7 +64,7 @@
         val server: ServerName,
     ) : FailoverState
 
-    /** Records the new primary in the group's object; without a call while it pauses. */
+    /** Records the new primary in the group's object; without a call while it waits to retry. */
     data class Recording(
         override val platformCall: PlatformCallNumber?,
         override val proposedTerm: Term,
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/GroupRecords.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/GroupRecordCodec.kt
@@ -5,16 +5,16 @@
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.json.Json
 
-/** The platform's key of the group object of [database]. */
+/** The key under which the platform stores the group's object of [database]. */
 internal fun groupKey(database: DatabaseName): String = "group/$database"
 
-/** Text form of the group objects. */
-internal object GroupRecords {
+/** Converts a group's object to and from the JSON text that the platform stores. */
+internal object GroupRecordCodec {
     private val json = Json { ignoreUnknownKeys = true }
 
     fun encode(record: GroupRecord): String = json.encodeToString(GroupRecord.serializer(), record)
 
-    /** The record, or null if [text] is none. */
+    /** The record, or null if [text] is not a valid one. */
     fun decode(text: String): GroupRecord? =
         try {
             json.decodeFromString(GroupRecord.serializer(), text)
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/GroupState.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/GroupState.kt
@@ -11,50 +11,50 @@
 import kotlinx.collections.immutable.PersistentMap
 import kotlinx.collections.immutable.persistentMapOf
 
-/** A request that waits until a majority holds [position]. */
+/** A request that waits until [position] is durable. */
 internal data class DurabilityWait(val position: Position, val waitUntil: MonotonicTime)
 
-/** A request that waits for a majority's answer to something sent at or after [since]. */
+/** A request that waits until a majority has answered to commands sent at or after [since]. */
 internal data class LeadershipWait(val since: MonotonicTime, val waitUntil: MonotonicTime)
 
-/** The use of the one Confirm command that may be outstanding to a replica. */
-internal enum class ConfirmChannel {
+/** Why no further Confirm command may be sent to a replica; at most one is outstanding at a time. */
+internal enum class ConfirmState {
     OUTSTANDING,
 
-    /** Failed or refused; not tried again before the next probe period, so that a fast refusal causes no busy loop. */
+    /** Failed or refused. Retried from the next probe period on, because a fast refusal would cause a busy loop. */
     PAUSED,
 }
 
-/** What a home knows of one database group. */
+/** What the home of a database group knows of it. */
 internal data class GroupState(
     val group: DatabaseGroup,
     val settings: GroupSettings,
-    /** Since when the group has been monitored without a pause of this process. */
+    /** Start of the monitoring, or the end of the last pause of this process. */
     val monitoredSince: MonotonicTime,
     val term: Term = Term(0),
     /** The primary of [term]. */
     val primary: ServerName? = null,
     /** When [primary] was learned. */
     val adoptedAt: MonotonicTime = monitoredSince,
-    /** The highest term seen anywhere; above [term] while a proposer is at work or after it failed. */
+    /** The highest term seen on any server or peer; above [term] during a failover and after a failed one. */
     val highestTerm: Term = Term(0),
     val highestTermSince: MonotonicTime = monitoredSince,
     /** Head of the primary when its term began; null if its first entry of the term was already there. */
     val termStart: Position? = null,
     val health: PersistentMap<ServerName, ServerHealth> = persistentMapOf(),
-    /** Highest index of each term that a majority was known to hold. */
-    val settled: PersistentMap<Term, Long> = persistentMapOf(),
+    /** Highest durable index of each term; see [isDurable]. */
+    val durableIndexes: PersistentMap<Term, Long> = persistentMapOf(),
     val samples: HeadSamples = HeadSamples(),
     val durabilityWaits: PersistentMap<AttemptNumber, DurabilityWait> = persistentMapOf(),
     val leadershipWaits: PersistentMap<AttemptNumber, LeadershipWait> = persistentMapOf(),
-    /** Send time of the latest probes sent for [leadershipWaits]. */
+    /** When the latest probes for [leadershipWaits] were sent. */
     val leadershipProbedAt: MonotonicTime = ServerHealth.NEVER,
-    val confirms: PersistentMap<ServerName, ConfirmChannel> = persistentMapOf(),
+    val confirms: PersistentMap<ServerName, ConfirmState> = persistentMapOf(),
     val failover: FailoverState = FailoverState.Watching,
     val failoverNotBefore: MonotonicTime = ServerHealth.NEVER,
-    /** Servers of the group that the platform lists as leaving. */
+    /** Servers of the group that the platform's list names as leaving. */
     val listedLeaving: Set<ServerName> = emptySet(),
-    /** When this process stopped being the home; the group is dropped some time later. */
+    /** When this process stopped being the home; the state is dropped some time later. */
     val retiredAt: MonotonicTime? = null,
 ) {
     /** The name of the database. */
@@ -67,7 +67,7 @@
     fun withHealth(server: ServerName, change: (ServerHealth) -> ServerHealth): GroupState =
         copy(health = health.put(server, change(healthOf(server))))
 
-    /** Whether [server] answered recently. */
+    /** Whether [server] answered within the suspicion time and refused no connection since. */
     fun isReachable(server: ServerName, now: MonotonicTime): Boolean =
         healthOf(server).isReachable(now, settings.suspicionAfter)
 
@@ -80,29 +80,29 @@
         return primary?.takeUnless { replacing || isDeposed(it) }
     }
 
-    /** Latest time T such that a majority answered in the current term to something sent at or after T. */
+    /** Latest time T such that a majority answered in the current term to commands sent at or after T. */
     fun leadershipVerifiedAt(): MonotonicTime? =
         ofMajority { healthOf(it).answeredInTermAt.takeIf { _ -> healthOf(it).term == term } }
 
     /** The highest position that a majority is known to hold in the current term. */
     fun durable(): Position = ofMajority(::heldInTerm) ?: Position.ORIGIN
 
-    /** Whether [position] is known to be part of the database's history for good. */
-    fun isSettled(position: Position): Boolean =
-        position == Position.ORIGIN || position.index <= (settled[position.term] ?: NOTHING_SETTLED)
+    /** Whether [position] is known to be held by a majority, so that no promotion can lose it. */
+    fun isDurable(position: Position): Boolean =
+        position == Position.ORIGIN || position.index <= (durableIndexes[position.term] ?: NO_DURABLE_INDEX)
 
-    /** The position that [server] holds for sure, as part of the current primary's log; null in another term. */
+    /** The position up to which [server] holds the current primary's log for certain; null in another term. */
     fun heldInTerm(server: ServerName): Position? {
-        val known = healthOf(server)
+        val serverHealth = healthOf(server)
         return when {
-            known.term != term -> null
-            known.held.term == term -> known.held
-            // An entry of an older term after the term's start may have been written by a replaced primary only.
-            else -> termStart?.let { minOf(it, known.held) }
+            serverHealth.term != term -> null
+            serverHealth.held.term == term -> serverHealth.held
+            // Entries of an older term after the start of the current one may come from a replaced primary.
+            else -> termStart?.let { minOf(it, serverHealth.held) }
         }
     }
 
-    // The value that a majority of the servers reaches; servers without a value count as lower than any.
+    // The highest value that a majority of the servers has reached; a server without a value has reached none.
     private fun <T : Comparable<T>> ofMajority(value: (ServerName) -> T?): T? =
         group.servers
             .mapNotNull { value(it.name) }
@@ -111,6 +111,6 @@
 
     private companion object {
         val UNKNOWN_HEALTH = ServerHealth()
-        const val NOTHING_SETTLED = -1L
+        const val NO_DURABLE_INDEX = -1L
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/GroupsPart.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/GroupsPart.kt
@@ -12,76 +12,76 @@
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
 
-/** Knows the health, terms and positions of the database groups and replaces failed primaries. */
+/** Monitors the health, terms and positions of the database groups and replaces failed primaries. */
 internal class GroupsPart : Part {
     override fun handle(state: ProxyState, event: Event, context: StepContext): Step =
         when (event) {
-            is Event.Started -> turn(state, context) { started() }
-            is Event.TimerFired -> turn(state, context) { timerFired(event.key) }
-            is Event.ControlAnswered -> turn(state, context) { controlAnswered(event) }
-            is Event.ControlFailed -> turn(state, context) { controlFailed(event) }
-            is Event.PlatformAnswered -> turn(state, context) { platformAnswered(event) }
-            is Event.PeerMessageReceived -> turn(state, context) { messageReceived(event) }
-            is Signal -> turn(state, context) { signalReceived(event) }
+            is Event.Started -> step(state, context) { handleStart() }
+            is Event.TimerFired -> step(state, context) { handleTimer(event.key) }
+            is Event.ControlAnswered -> step(state, context) { handleControlAnswer(event) }
+            is Event.ControlFailed -> step(state, context) { handleControlFailure(event) }
+            is Event.PlatformAnswered -> step(state, context) { handlePlatformAnswer(event) }
+            is Event.PeerMessageReceived -> step(state, context) { handlePeerMessage(event) }
+            is Signal -> step(state, context) { handleSignal(event) }
             else -> Step(state)
         }
 
-    private fun turn(state: ProxyState, context: StepContext, action: GroupsTurn.() -> Unit): Step =
-        GroupsTurn(state, context)
-            .apply { noticePause() }
+    private fun step(state: ProxyState, context: StepContext, action: GroupsStepBuilder.() -> Unit): Step =
+        GroupsStepBuilder(state, context)
+            .apply { detectPause() }
             .apply(action)
             .toStep()
 }
 
-private fun GroupsTurn.started() {
-    groups = groups.copy(lastTickAt = now)
+private fun GroupsStepBuilder.handleStart() {
+    groups = groups.copy(lastProbePeriodAt = now)
     emit(Effect.StartTimer(TimerKey.ProbePeriod, settings.probePeriod))
     selectHomes()
 }
 
-private fun GroupsTurn.timerFired(key: TimerKey) {
+private fun GroupsStepBuilder.handleTimer(key: TimerKey) {
     when (key) {
         is TimerKey.ProbePeriod -> {
-            dropRetired()
-            tick()
+            dropRetiredGroups()
+            runProbePeriod()
         }
-        is TimerKey.FailoverStep -> failoverStepDue(key.database)
-        is TimerKey.DurabilityTimeout -> durabilityTimedOut(key.attempt)
-        is TimerKey.LeadershipTimeout -> leadershipTimedOut(key.attempt)
+        is TimerKey.FailoverStep -> handleFailoverTimer(key.database)
+        is TimerKey.DurabilityTimeout -> handleDurabilityTimeout(key.attempt)
+        is TimerKey.LeadershipTimeout -> handleLeadershipTimeout(key.attempt)
         else -> Unit
     }
 }
 
-private fun GroupsTurn.platformAnswered(event: Event.PlatformAnswered) {
+private fun GroupsStepBuilder.handlePlatformAnswer(event: Event.PlatformAnswered) {
     if (event.call.owner != PartName.GROUPS) return
     groups.databases.values
         .find { it.failover.platformCall == event.call }
-        ?.let { takePlatformAnswer(it, event.answer) }
+        ?.let { handleFailoverAnswer(it, event.answer) }
 }
 
-private fun GroupsTurn.messageReceived(event: Event.PeerMessageReceived) {
+private fun GroupsStepBuilder.handlePeerMessage(event: Event.PeerMessageReceived) {
     when (val message = event.message) {
         is PeerMessage.SightingRequested -> reportSighting(event.from, message)
-        is PeerMessage.SightingReported -> takeSighting(event.from, message)
-        is PeerMessage.GroupAnnounced -> adopt(message.database, message.term, message.primary)
+        is PeerMessage.SightingReported -> handleSighting(event.from, message)
+        is PeerMessage.GroupAnnounced -> adoptPrimary(message.database, message.term, message.primary)
         else -> Unit
     }
 }
 
-private fun GroupsTurn.signalReceived(signal: Signal) {
+private fun GroupsStepBuilder.handleSignal(signal: Signal) {
     when (signal) {
         is Signal.MembershipChanged, is Signal.ConfigurationChanged -> selectHomes()
-        is Signal.LeavingServersListed -> listLeaving(signal.servers)
-        is Signal.PauseDetected -> resume()
-        is Signal.ServerObserved -> observeSession(signal)
-        is Signal.ServerFailed -> serverFailed(signal.server, signal.failure, now)
-        is Signal.DurabilityWanted -> wantDurability(signal)
-        is Signal.LeadershipWanted -> wantLeadership(signal)
+        is Signal.LeavingServersListed -> updateLeavingServers(signal.servers)
+        is Signal.PauseDetected -> resetAfterPause()
+        is Signal.ServerObserved -> observeSessionStatus(signal)
+        is Signal.ServerFailed -> handleServerFailure(signal.server, signal.failure, now)
+        is Signal.DurabilityWanted -> awaitDurability(signal)
+        is Signal.LeadershipWanted -> awaitLeadership(signal)
         else -> Unit
     }
 }
 
-private fun GroupsTurn.observeSession(signal: Signal.ServerObserved) {
+private fun GroupsStepBuilder.observeSessionStatus(signal: Signal.ServerObserved) {
     val database: DatabaseName = state.configuration.index.groupOf(signal.status.server)?.name ?: return
-    observe(database, signal.status, signal.sentAt)
+    observeStatus(database, signal.status, signal.sentAt)
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/GroupsState.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/GroupsState.kt
@@ -10,20 +10,20 @@
 import kotlinx.collections.immutable.PersistentMap
 import kotlinx.collections.immutable.persistentMapOf
 
-/** What routing needs to know of one server. */
+/** The state of one server as routing needs it. */
 data class ServerView(
     val name: ServerName,
-    /** Answered recently enough to be sent work. */
+    /** Whether the server answered recently and is the primary, or follows it in the current term. */
     val reachable: Boolean,
     val leaving: Boolean,
     val applied: Position,
-    /** Smoothed time between sending a probe and its answer. */
+    /** Smoothed round-trip time of the probes. */
     val latency: Millis,
-    /** Share of normal work that the server should get after it came back, 0 to 100. */
+    /** Percentage of the normal share of reads that a returning server gets, 0 to 100. */
     val warmUpPercent: Int,
 )
 
-/** The groups part's view of the database groups of which this process is a home. */
+/** State of the groups part: the database groups of which this process is the home. */
 @ConsistentCopyVisibility
 data class GroupsState internal constructor(
     internal val databases: PersistentMap<DatabaseName, GroupState> = persistentMapOf(),
@@ -32,8 +32,8 @@
     internal val lastPlatformCall: Long = 0,
     /** Servers that the platform lists as leaving. */
     internal val leavingServers: Set<ServerName> = emptySet(),
-    /** Time of the latest probe period. A long gap means that this process was paused. */
-    internal val lastTickAt: MonotonicTime? = null,
+    /** Start of the latest probe period. A long gap means that this process was paused. */
+    internal val lastProbePeriodAt: MonotonicTime? = null,
     internal val homes: HomeSelection = HomeSelection(),
 ) {
     /** The current term of [database]; term 0 if it is not known yet. */
@@ -42,7 +42,7 @@
     /** The primary of the current term, or null while it is not known or being replaced. */
     fun primary(database: DatabaseName): ServerName? = databases[database]?.servingPrimary()
 
-    /** All servers of [database] as routing sees them; empty if this process is not a home of it. */
+    /** All servers of [database] as routing needs them; empty if this process is not a home of it. */
     fun servers(database: DatabaseName, now: MonotonicTime): List<ServerView> =
         databases[database]?.let { group -> group.group.servers.map { group.view(it.name, now) } }
             ?: emptyList()
@@ -55,18 +55,18 @@
      * this is also right for a position that only a replaced primary wrote.
      */
     fun isDurable(database: DatabaseName, position: Position): Boolean =
-        databases[database]?.isSettled(position) ?: false
+        databases[database]?.isDurable(position) ?: false
 
-    /** The head of the newest verified sample; no acknowledged write up to its sample time is after it. */
+    /** The head in the newest verified sample. Every write acknowledged before its sample time is at or before it. */
     fun verifiedHead(database: DatabaseName): Position? = databases[database]?.samples?.newest?.position
 
-    /** Upper bound of the age of data at [position], or null if nothing is known of its age. */
+    /** Upper bound of the age of data at [position], or null if the age is unknown. */
     fun ageOf(database: DatabaseName, position: Position, now: MonotonicTime): Millis? =
         databases[database]
-            ?.takeIf { position.term == it.term || (position.term < it.term && it.isSettled(position)) }
+            ?.takeIf { position.term == it.term || (position.term < it.term && it.isDurable(position)) }
             ?.let { it.samples.newestWithin(position) }
             ?.let { now - it.sentAt }
 
-    /** The latest time T such that a majority answered in the current term to something sent at or after T. */
+    /** The latest time T such that a majority answered in the current term to commands sent at or after T. */
     fun leadershipVerifiedAt(database: DatabaseName): MonotonicTime? = databases[database]?.leadershipVerifiedAt()
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/GroupsTurn.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/GroupsStepBuilder.kt
@@ -18,7 +18,7 @@
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
 
-/** A control command whose answer is outstanding. */
+/** A control command that was sent to [server] and is not answered yet. */
 internal data class ControlCall(
     val database: DatabaseName,
     val server: ServerName,
@@ -26,8 +26,8 @@
     val sentAt: MonotonicTime,
 )
 
-/** Collects the changes of the groups slice, the effects and the signals while one event is handled. */
-internal class GroupsTurn(val state: ProxyState, val context: StepContext) {
+/** Collects the state changes, effects and signals of the groups part while it handles one event. */
+internal class GroupsStepBuilder(val state: ProxyState, val context: StepContext) {
     var groups: GroupsState = state.groups
     private val effects = mutableListOf<Effect>()
     private val signals = mutableListOf<Signal>()
@@ -39,8 +39,8 @@
 
     /** Changes the state of [database]; does nothing if this process has none. */
     fun update(database: DatabaseName, change: (GroupState) -> GroupState) {
-        val known = group(database) ?: return
-        groups = groups.copy(databases = groups.databases.put(database, change(known)))
+        val groupState = group(database) ?: return
+        groups = groups.copy(databases = groups.databases.put(database, change(groupState)))
     }
 
     fun emit(effect: Effect) {
@@ -51,7 +51,7 @@
         signals += signal
     }
 
-    /** Sends [command] to [server] and remembers the call; does nothing if the group has no such server. */
+    /** Sends [command] to [server] and records the call; does nothing if the group has no such server. */
     fun sendControl(
         group: GroupState,
         server: ServerName,
@@ -68,8 +68,8 @@
         emit(Effect.SendControlCommand(call, server, endpoint, command, timeout))
     }
 
-    /** Takes the call out of the outstanding ones. */
-    fun endCall(number: ControlCallNumber): ControlCall? {
+    /** Removes the call from the outstanding ones and returns it; null if it is not outstanding. */
+    fun completeCall(number: ControlCallNumber): ControlCall? {
         val call = groups.calls[number] ?: return null
         groups = groups.copy(calls = groups.calls.remove(number))
         return call
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/HomeSelection.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/HomeSelection.kt
@@ -10,14 +10,15 @@
 
 /**
  * The homes of all groups in one failure domain. Hashing 1,600 groups over the nodes of a domain takes tens of
- * milliseconds, so a change only hashes the groups whose home left, and the others with the nodes that were added.
+ * milliseconds. A change therefore rehashes only the groups whose home left, and compares the other homes with the
+ * added nodes.
  */
 internal data class HomeSelection(
     val generation: Long = 0,
     val candidates: List<NodeIdentity> = emptyList(),
     val homes: Map<DatabaseName, NodeIdentity> = emptyMap(),
 ) {
-    /** The selection for another configuration or other nodes that take work; the same object if nothing changed. */
+    /** The selection for a new configuration or for other [current] candidates; the same object if nothing changed. */
     fun updated(index: ConfigurationIndex, domain: FailureDomainName, current: List<NodeIdentity>): HomeSelection {
         if (index.generation == generation && current == candidates) return this
         val added = current - candidates.toSet()
@@ -35,8 +36,8 @@
         remaining: Set<NodeIdentity>,
         added: List<NodeIdentity>,
     ): NodeIdentity? {
-        val known = homes[group.name]?.takeIf { it in remaining }
-        val contenders = if (known == null) current else added + known
+        val currentHome = homes[group.name]?.takeIf { it in remaining }
+        val contenders = if (currentHome == null) current else added + currentHome
         return RendezvousHash.first(group.name.value, contenders) { it.peerEndpoint }
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Homes.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Homes.kt
@@ -12,47 +12,47 @@
 import dev.hibiscusreach.core.reducer.DatabaseHomes
 import kotlinx.collections.immutable.PersistentMap
 
-/** Time in which requests in flight come to their end after the home has moved. */
-private val RETIREMENT = 5.inSeconds
+/** Time that requests in flight get to complete after the home has moved. */
+private val RETIREMENT_PERIOD = 5.inSeconds
 
 /** Starts and ends the monitoring of groups after the members or the configuration changed. */
-internal fun GroupsTurn.selectHomes() {
+internal fun GroupsStepBuilder.selectHomes() {
     val index = state.configuration.index
     val domain = state.settings.failureDomain
     val homes = groups.homes.updated(index, domain, state.membership.takingWork(domain))
     if (homes === groups.homes) return
     groups = groups.copy(homes = homes)
     val own = homes.homes.filterValues { it == state.settings.self }.keys
-    own.mapNotNull(index::group).forEach(::monitor)
-    groups.databases.keys.filter { it !in own }.forEach(::retire)
+    own.mapNotNull(index::group).forEach(::startMonitoring)
+    groups.databases.keys.filter { it !in own }.forEach(::retireGroup)
 }
 
-/** Remembers which servers the platform lists as leaving. */
-internal fun GroupsTurn.listLeaving(servers: Set<ServerName>) {
+/** Stores which servers the platform lists as leaving, also for groups that are monitored later. */
+internal fun GroupsStepBuilder.updateLeavingServers(servers: Set<ServerName>) {
     groups = groups.copy(leavingServers = servers)
-    groups.databases.values.forEach { known ->
-        val listed = known.group.listedIn(servers)
-        if (listed != known.listedLeaving) update(known.name) { it.copy(listedLeaving = listed) }
+    groups.databases.values.forEach { groupState ->
+        val listed = groupState.group.listedIn(servers)
+        if (listed != groupState.listedLeaving) update(groupState.name) { it.copy(listedLeaving = listed) }
     }
 }
 
-/** Drops the groups whose requests in flight had time to end. A draining process keeps them until it exits. */
-internal fun GroupsTurn.dropRetired() {
+/** Drops the groups whose retirement period is over. A draining process keeps them until it exits. */
+internal fun GroupsStepBuilder.dropRetiredGroups() {
     if (state.drainPhase != DrainPhase.SERVING) return
     groups.databases.values
-        .filter { it.retiredAt != null && now - it.retiredAt >= RETIREMENT }
-        .forEach { drop(it.name) }
+        .filter { it.retiredAt != null && now - it.retiredAt >= RETIREMENT_PERIOD }
+        .forEach { dropGroup(it.name) }
 }
 
-/** The homes of the group in the other failure domains. */
-internal fun GroupsTurn.otherMonitors(group: DatabaseGroup): List<NodeIdentity> =
+/** The homes of the group in the other failure domains, which monitor it as well. */
+internal fun GroupsStepBuilder.otherMonitors(group: DatabaseGroup): List<NodeIdentity> =
     DatabaseHomes.domains(group)
         .mapNotNull { DatabaseHomes.home(state, group, it) }
         .filter { it != state.settings.self }
 
-private fun GroupsTurn.monitor(group: DatabaseGroup) {
-    val known = groups.databases[group.name]
-    if (known == null) {
+private fun GroupsStepBuilder.startMonitoring(group: DatabaseGroup) {
+    val groupState = groups.databases[group.name]
+    if (groupState == null) {
         val started = GroupState(
             group = group,
             settings = settings,
@@ -66,24 +66,24 @@
     }
 }
 
-private fun GroupsTurn.retire(database: DatabaseName) {
-    val known = group(database) ?: return
+private fun GroupsStepBuilder.retireGroup(database: DatabaseName) {
+    val groupState = group(database) ?: return
     val configured = state.configuration.index.group(database)
     if (configured == null) {
-        drop(database)
-    } else if (known.retiredAt == null) {
+        dropGroup(database)
+    } else if (groupState.retiredAt == null) {
         update(database) { it.copy(retiredAt = now) }
-        endEarlyFailover(known)
+        cancelUnfencedFailover(groupState)
     }
 }
 
-// Once the servers are fenced nobody else can promote in that term, so the failover is brought to its end.
-private fun GroupsTurn.endEarlyFailover(known: GroupState) {
-    val late = known.failover is FailoverState.Fencing || known.failover is FailoverState.Promoting
-    if (!late && known.failover !is FailoverState.Recording) pause(known.name)
+// Once fencing has started no other process can promote a server in that term, so the failover is completed.
+private fun GroupsStepBuilder.cancelUnfencedFailover(groupState: GroupState) {
+    val fencingStarted = groupState.failover is FailoverState.Fencing || groupState.failover is FailoverState.Promoting
+    if (!fencingStarted && groupState.failover !is FailoverState.Recording) backOff(groupState.name)
 }
 
-private fun GroupsTurn.drop(database: DatabaseName) {
+private fun GroupsStepBuilder.dropGroup(database: DatabaseName) {
     update(database) { it.copy(retiredAt = now) }
     failWaits(database)
     emit(Effect.CancelTimer(TimerKey.FailoverStep(database)))
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Leadership.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Leadership.kt
@@ -5,34 +5,35 @@
 import dev.hibiscusreach.core.event.TimerKey
 import dev.hibiscusreach.core.model.DatabaseName
 
-/** Answers as soon as a majority answered in the current term to something sent at or after the wanted time. */
-internal fun GroupsTurn.wantLeadership(wanted: Signal.LeadershipWanted) {
-    val known = group(wanted.database)
-    val verifiedAt = known?.leadershipVerifiedAt()
+/** Confirms the leadership once a majority answered in the current term to commands sent at or after the given time. */
+internal fun GroupsStepBuilder.awaitLeadership(request: Signal.LeadershipWanted) {
+    val groupState = group(request.database)
+    val verifiedAt = groupState?.leadershipVerifiedAt()
     when {
-        known?.primary == null || wanted.waitUntil <= now -> signal(Signal.LeadershipNotConfirmed(wanted.attempt))
-        verifiedAt != null && verifiedAt >= wanted.since -> signal(Signal.LeadershipConfirmed(wanted.attempt))
+        groupState?.primary == null || request.waitUntil <= now ->
+            signal(Signal.LeadershipNotConfirmed(request.attempt))
+        verifiedAt != null && verifiedAt >= request.since -> signal(Signal.LeadershipConfirmed(request.attempt))
         else -> {
-            val wait = LeadershipWait(wanted.since, wanted.waitUntil)
-            update(wanted.database) { it.copy(leadershipWaits = it.leadershipWaits.put(wanted.attempt, wait)) }
-            emit(Effect.StartTimer(TimerKey.LeadershipTimeout(wanted.attempt), wanted.waitUntil - now))
-            probeForLeadership(wanted.database)
+            val wait = LeadershipWait(request.since, request.waitUntil)
+            update(request.database) { it.copy(leadershipWaits = it.leadershipWaits.put(request.attempt, wait)) }
+            emit(Effect.StartTimer(TimerKey.LeadershipTimeout(request.attempt), request.waitUntil - now))
+            probeForLeadership(request.database)
         }
     }
 }
 
 /**
- * Sends probes at once if a request waits for a leadership check that no probe on its way can complete. At most one
- * round is on its way, so that many requests share the next one.
+ * Sends probes at once if a request waits for a leadership check that no outstanding probe can complete. At most one
+ * round of probes is outstanding, so that many requests share the next round.
  */
-internal fun GroupsTurn.probeForLeadership(database: DatabaseName) {
-    val known = group(database) ?: return
-    val latest = known.leadershipWaits.values.maxOfOrNull { it.since } ?: return
-    val verifiedAt = known.leadershipVerifiedAt()
+internal fun GroupsStepBuilder.probeForLeadership(database: DatabaseName) {
+    val groupState = group(database) ?: return
+    val latest = groupState.leadershipWaits.values.maxOfOrNull { it.since } ?: return
+    val verifiedAt = groupState.leadershipVerifiedAt()
     val roundEnded =
-        (verifiedAt != null && verifiedAt >= known.leadershipProbedAt) ||
-            now - known.leadershipProbedAt >= settings.probePeriod
-    if (roundEnded && known.leadershipProbedAt < latest) {
+        (verifiedAt != null && verifiedAt >= groupState.leadershipProbedAt) ||
+            now - groupState.leadershipProbedAt >= settings.probePeriod
+    if (roundEnded && groupState.leadershipProbedAt < latest) {
         update(database) { it.copy(leadershipProbedAt = now) }
         probe(database)
     }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Observation.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Observation.kt
@@ -7,16 +7,18 @@
 import dev.hibiscusreach.core.model.MonotonicTime
 import dev.hibiscusreach.core.model.ServerName
 
-/** Takes in what a server answered to something sent at [sentAt]. */
-internal fun GroupsTurn.observe(database: DatabaseName, status: ServerStatus, sentAt: MonotonicTime) {
+/** Updates the state of [database] with the [status] in a server's answer to a command sent at [sentAt]. */
+internal fun GroupsStepBuilder.observeStatus(database: DatabaseName, status: ServerStatus, sentAt: MonotonicTime) {
     val before = group(database)?.takeIf { it.group.server(status.server) != null } ?: return
-    update(database) { it.withHealth(status.server) { known -> it.afterAnswer(known, status, sentAt, now) } }
-    noteTerm(database, status.term)
+    update(database) { it.withHealth(status.server) { previous -> it.afterAnswer(previous, status, sentAt, now) } }
+    updateHighestTerm(database, status.term)
     if (status.role == ServerRole.PRIMARY) {
-        adopt(database, status.term, status.server)
+        adoptPrimary(database, status.term, status.server)
     }
-    update(database) { it.withTermStart(status).withSample(status, sentAt).withVerifiedSamples().withSettled() }
-    repair(database, status.server)
+    update(database) {
+        it.withTermStart(status).withHeadSample(status, sentAt).withVerifiedSamples().withDurableIndexes()
+    }
+    ensureFollowing(database, status.server)
     completeWaits(database)
     val after = group(database) ?: return
     if (after.routingChanged(before, status.server, now)) {
@@ -25,20 +27,20 @@
 }
 
 private fun GroupState.afterAnswer(
-    known: ServerHealth,
+    previous: ServerHealth,
     status: ServerStatus,
     sentAt: MonotonicTime,
     now: MonotonicTime,
 ): ServerHealth {
-    // After a pause of this process all servers seem to have been away.
+    // After a pause of this process every server appears to have been silent, so none counts as returned.
     val watched = now - monitoredSince >= settings.suspicionAfter
-    val returned = watched && known.respondedAt != null && !known.isReachable(now, settings.suspicionAfter)
-    val health = known.observed(status, sentAt, now)
-    // A server that was away may have been restarted and may have forgotten whom it follows.
+    val returned = watched && previous.respondedAt != null && !previous.isReachable(now, settings.suspicionAfter)
+    val health = previous.observed(status, sentAt, now)
+    // A server that was unreachable may have restarted and lost the setting which server to follow.
     return if (returned) health.copy(warmUpFrom = now, followedTerm = null) else health
 }
 
-// What a waiting read can depend on: positions, leadership, verified samples, reachability.
+// A waiting read can depend on positions, leadership, verified samples and reachability.
 private fun GroupState.routingChanged(before: GroupState, server: ServerName, now: MonotonicTime): Boolean =
     healthOf(server).status != before.healthOf(server).status ||
         samples.newest != before.samples.newest ||
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Pause.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/PauseDetection.kt
@@ -4,17 +4,17 @@
 import dev.hibiscusreach.core.event.TimerKey
 import kotlinx.collections.immutable.PersistentMap
 
-/** Detects by the probe timer that this process did not run, before anything is decided with outdated knowledge. */
-internal fun GroupsTurn.noticePause() {
-    val lastTickAt = groups.lastTickAt ?: return
-    if (now - lastTickAt > settings.probePeriod + settings.suspicionAfter) {
-        groups = groups.copy(lastTickAt = now)
-        resume()
+/** Detects by an overdue probe timer that this process was paused, before it decides on outdated observations. */
+internal fun GroupsStepBuilder.detectPause() {
+    val lastProbePeriodAt = groups.lastProbePeriodAt ?: return
+    if (now - lastProbePeriodAt > settings.probePeriod + settings.suspicionAfter) {
+        groups = groups.copy(lastProbePeriodAt = now)
+        resetAfterPause()
     }
 }
 
-/** Gives up all failovers and judges the primaries by new probes only. */
-internal fun GroupsTurn.resume() {
+/** Cancels all failovers and probes all groups, so that only answers after the pause count. */
+internal fun GroupsStepBuilder.resetAfterPause() {
     groups.databases.keys.forEach { database ->
         emit(Effect.CancelTimer(TimerKey.FailoverStep(database)))
         update(database) {
@@ -23,8 +23,8 @@
                 highestTermSince = now,
                 failover = FailoverState.Watching,
                 health =
-                it.health.mapValuesPersistent { known ->
-                    known.copy(refusedAt = null, refusedRepeatedly = false, followedTerm = null)
+                it.health.mapValuesPersistent { serverHealth ->
+                    serverHealth.copy(refusedAt = null, refusedRepeatedly = false, followedTerm = null)
                 },
             )
         }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Probing.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Probing.kt
@@ -5,26 +5,26 @@
 import dev.hibiscusreach.core.event.TimerKey
 import dev.hibiscusreach.core.model.DatabaseName
 
-/** Probes all groups of this home and looks for primaries that are missing. */
-internal fun GroupsTurn.tick() {
-    groups = groups.copy(lastTickAt = now)
+/** Probes all groups of this home, retries paused Confirm commands, and starts the failovers that are needed. */
+internal fun GroupsStepBuilder.runProbePeriod() {
+    groups = groups.copy(lastProbePeriodAt = now)
     emit(Effect.StartTimer(TimerKey.ProbePeriod, settings.probePeriod))
     groups.databases.keys.forEach { database ->
-        update(database) { it.withConfirmsResumed().withLagJudged(now) }
+        update(database) { it.withConfirmsResumed().withLagUpdated(now) }
         probe(database)
         sendConfirms(database)
         probeForLeadership(database)
-        watchPrimary(database)
+        startFailoverIfNeeded(database)
     }
 }
 
-/** Sends a probe to every server of [database]. */
-internal fun GroupsTurn.probe(database: DatabaseName) {
-    val known = group(database) ?: return
-    known.group.servers.forEach { sendControl(known, it.name, ControlCommand.Probe) }
+/** Sends a Probe command to every server of [database]. */
+internal fun GroupsStepBuilder.probe(database: DatabaseName) {
+    val groupState = group(database) ?: return
+    groupState.group.servers.forEach { sendControl(groupState, it.name, ControlCommand.Probe) }
 }
 
 private fun GroupState.withConfirmsResumed(): GroupState =
     confirms.entries
-        .filter { it.value == ConfirmChannel.PAUSED }
+        .filter { it.value == ConfirmState.PAUSED }
         .fold(this) { group, entry -> group.copy(confirms = group.confirms.remove(entry.key)) }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/ServerHealth.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/ServerHealth.kt
@@ -7,56 +7,57 @@
 import dev.hibiscusreach.core.model.Position
 import dev.hibiscusreach.core.model.Term
 
-/** What this process knows of one server of a monitored group. */
+/** What this process has observed of one server of a monitored group. */
 internal data class ServerHealth(
     val status: ServerStatus? = null,
     /** Send time of the command that [status] answered. */
     val statusSentAt: MonotonicTime = NEVER,
     /** When the latest answer arrived. */
     val respondedAt: MonotonicTime? = null,
-    /** Latest send time of anything that the server answered in the term of [status]. */
+    /** Latest send time of a command that the server answered in the term of [status]. */
     val answeredInTermAt: MonotonicTime = NEVER,
     /** Highest position that the server reported in the term of [status]. */
     val held: Position = Position.ORIGIN,
     /** When the reported position last changed. */
     val progressedAt: MonotonicTime = NEVER,
-    /** When the first connection that was refused since the latest answer was attempted. */
+    /** When the first refused connection since the latest answer was attempted. */
     val refusedAt: MonotonicTime? = null,
-    /** Whether connections were refused at two times far enough apart to exclude a single glitch. */
+    /** Whether connections were refused at least one probe period apart, which excludes a single short fault. */
     val refusedRepeatedly: Boolean = false,
     val latencyMillis: Double? = null,
-    /** The start of the slow start after an absence; null if the server gets its full share. */
+    /** Start of the warm-up after the server came back or caught up; null if it needs none. */
     val warmUpFrom: MonotonicTime? = null,
     val farBehind: Boolean = false,
-    /** The term in which the server confirmed that it follows the primary. */
+    /** The term in which the server last confirmed a Follow command. */
     val followedTerm: Term? = null,
     val followSentAt: MonotonicTime? = null,
 ) {
-    /** The term that the server reported last. */
+    /** The term in [status]. */
     val term: Term? get() = status?.term
 
-    /** Whether the server answered within [limit] and did not refuse a connection since. */
+    /** Whether the server answered within [limit] and has refused no connection since. */
     fun isReachable(now: MonotonicTime, limit: Millis): Boolean =
         refusedAt == null && respondedAt != null && now - respondedAt < limit
 
-    /** This health after an answer, that arrived now, to something sent at [sentAt]. */
+    /** This health after an answer to a command sent at [sentAt] arrived at [now]. */
     fun observed(answer: ServerStatus, sentAt: MonotonicTime, now: MonotonicTime): ServerHealth {
         val next = withAnswer(answer, sentAt, withResponse(sentAt, now))
         return if (next.status?.applied != status?.applied) next.copy(progressedAt = now) else next
     }
 
     private fun withAnswer(answer: ServerStatus, sentAt: MonotonicTime, responded: ServerHealth): ServerHealth {
-        val known = term
+        val currentTerm = term
         return when {
-            known == null || answer.term > known -> responded.inTermOf(answer, sentAt)
-            answer.term == known -> responded.inSameTerm(answer, sentAt)
-            // Sent after a higher term was reported: the server lost its state. Otherwise the answer is just late.
-            respondedAt != null && sentAt > respondedAt -> responded.inTermOf(answer, sentAt)
+            currentTerm == null || answer.term > currentTerm -> responded.withNewTerm(answer, sentAt)
+            answer.term == currentTerm -> responded.withSameTerm(answer, sentAt)
+            // A lower term in answer to a command sent after the last answer: the server lost its state. Otherwise the
+            // answer is just late.
+            respondedAt != null && sentAt > respondedAt -> responded.withNewTerm(answer, sentAt)
             else -> responded
         }
     }
 
-    /** This health after a connection or call, made at [attemptedAt], failed. */
+    /** This health after a connection or call made at [attemptedAt] failed; only refused connections change it. */
     fun failed(failure: ConnectionFailure, attemptedAt: MonotonicTime, spacing: Millis): ServerHealth =
         when {
             failure != ConnectionFailure.REFUSED -> this
@@ -65,10 +66,10 @@
             else -> this
         }
 
-    /** This health with a probe's round trip included in the smoothed latency. */
+    /** This health with a probe's round-trip time added to the exponentially smoothed latency. */
     fun withLatency(sample: Millis): ServerHealth {
-        val known = latencyMillis ?: return copy(latencyMillis = sample.value.toDouble())
-        return copy(latencyMillis = known + (sample.value - known) * LATENCY_GAIN)
+        val previous = latencyMillis ?: return copy(latencyMillis = sample.value.toDouble())
+        return copy(latencyMillis = previous + (sample.value - previous) * LATENCY_GAIN)
     }
 
     private fun withResponse(sentAt: MonotonicTime, now: MonotonicTime): ServerHealth =
@@ -78,11 +79,11 @@
             copy(respondedAt = now, refusedAt = null, refusedRepeatedly = false)
         }
 
-    private fun inTermOf(answer: ServerStatus, sentAt: MonotonicTime): ServerHealth =
+    private fun withNewTerm(answer: ServerStatus, sentAt: MonotonicTime): ServerHealth =
         copy(status = answer, statusSentAt = sentAt, answeredInTermAt = sentAt, held = answer.applied)
 
-    // Answers may arrive out of order: the newest status counts, but what was held in the term stays held.
-    private fun inSameTerm(answer: ServerStatus, sentAt: MonotonicTime): ServerHealth {
+    // Answers may arrive out of order: the newest status counts, but a position once held in the term stays held.
+    private fun withSameTerm(answer: ServerStatus, sentAt: MonotonicTime): ServerHealth {
         val newer = sentAt >= statusSentAt
         return copy(
             status = if (newer) answer else status,
@@ -93,7 +94,7 @@
     }
 
     companion object {
-        /** Before all times. */
+        /** Lies before every time that occurs, with room for subtraction without overflow. */
         val NEVER: MonotonicTime = MonotonicTime(Long.MIN_VALUE / 2)
 
         private const val LATENCY_GAIN = 0.125
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/ServerViews.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/ServerViews.kt
@@ -7,28 +7,28 @@
 import dev.hibiscusreach.core.model.inSeconds
 import kotlin.math.roundToLong
 
-/** A returning server's caches are cold; it reaches its full share of reads after this time. */
+/** Time until a returning server, whose caches are cold, gets its full share of reads. */
 private val WARM_UP = 10.inSeconds
 private const val MINIMUM_WARM_UP_PERCENT = 10L
 private const val FULL_PERCENT = 100L
 
-/** [server] as routing sees it. */
+/** The view of [server] that routing uses. */
 internal fun GroupState.view(server: ServerName, now: MonotonicTime): ServerView {
-    val known = healthOf(server)
+    val serverHealth = healthOf(server)
     return ServerView(
         name = server,
         reachable = isReachable(server, now) && isUsable(server),
         leaving = isLeaving(server),
-        applied = known.status?.applied ?: Position.ORIGIN,
-        latency = Millis((known.latencyMillis ?: 0.0).roundToLong()),
-        warmUpPercent = warmUpPercent(known, now),
+        applied = serverHealth.status?.applied ?: Position.ORIGIN,
+        latency = Millis((serverHealth.latencyMillis ?: 0.0).roundToLong()),
+        warmUpPercent = warmUpPercent(serverHealth, now),
     )
 }
 
-// A server that was fenced but does not follow the primary yet may still have entries that were never acknowledged.
+// A server that was fenced but does not follow the primary yet may hold entries that were never acknowledged.
 private fun GroupState.isUsable(server: ServerName): Boolean {
-    val known = healthOf(server)
-    return known.term == term && (server == primary || known.followedTerm == term)
+    val serverHealth = healthOf(server)
+    return serverHealth.term == term && (server == primary || serverHealth.followedTerm == term)
 }
 
 private fun warmUpPercent(health: ServerHealth, now: MonotonicTime): Int =
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Sightings.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Sightings.kt
@@ -9,77 +9,85 @@
 import kotlinx.collections.immutable.PersistentMap
 import kotlinx.collections.immutable.persistentMapOf
 
-/** Tells another monitor whether this process sees the primary. */
-internal fun GroupsTurn.reportSighting(from: NodeIdentity, request: PeerMessage.SightingRequested) {
-    val known = group(request.database) ?: return
-    if (known.term > request.term && known.primary != null) {
-        send(from, PeerMessage.GroupAnnounced(known.name, known.term, known.primary))
+/** Reports to another monitor whether this process reaches the primary. */
+internal fun GroupsStepBuilder.reportSighting(from: NodeIdentity, request: PeerMessage.SightingRequested) {
+    val groupState = group(request.database) ?: return
+    if (groupState.term > request.term && groupState.primary != null) {
+        sendToPeer(from, PeerMessage.GroupAnnounced(groupState.name, groupState.term, groupState.primary))
     }
-    // What is seen of an earlier term's primary says nothing of the asked one.
-    val seen = known.term >= request.term && known.seesPrimary(now)
-    send(from, PeerMessage.SightingReported(known.name, request.term, seen))
+    // Observations of the primary of an earlier term say nothing about the primary of the requested term.
+    val seen = groupState.term >= request.term && groupState.seesPrimary(now)
+    sendToPeer(from, PeerMessage.SightingReported(groupState.name, request.term, seen))
 }
 
-/** Takes in another monitor's answer. */
-internal fun GroupsTurn.takeSighting(from: NodeIdentity, report: PeerMessage.SightingReported) {
-    val known = group(report.database)?.takeIf { it.term == report.term } ?: return
-    when (val failover = known.failover) {
+/** Adds another monitor's report and decides on the failover as soon as the reports allow it. */
+internal fun GroupsStepBuilder.handleSighting(from: NodeIdentity, report: PeerMessage.SightingReported) {
+    val groupState = group(report.database)?.takeIf { it.term == report.term } ?: return
+    when (val failover = groupState.failover) {
         is FailoverState.CollectingSightings -> {
             val reports = failover.reports.put(from, report.seen)
-            moveTo(known.name, failover.copy(reports = reports))
-            if (isDecided(failover.asked, reports)) weighSightings(known.name, reports)
+            setFailover(groupState.name, failover.copy(reports = reports))
+            if (isDecided(failover.asked, reports)) evaluateSightings(groupState.name, reports)
         }
-        is FailoverState.AwaitingTurn -> {
+        is FailoverState.DelayingProposal -> {
             val reports = failover.reports.put(from, report.seen)
-            if (isJustified(reports)) moveTo(known.name, failover.copy(reports = reports)) else pause(known.name)
+            if (majorityMissesPrimary(reports)) {
+                setFailover(groupState.name, failover.copy(reports = reports))
+            } else {
+                backOff(groupState.name)
+            }
         }
         else -> Unit
     }
 }
 
-/** Decides by the sightings whether to propose, and waits for the proposers of a lower rank. */
-internal fun GroupsTurn.weighSightings(database: DatabaseName, reports: PersistentMap<NodeIdentity, Boolean>) {
-    val known = group(database) ?: return
-    val rank = ownRank(known, reports)
+/** Proposes if most monitors do not reach the primary, after a delay that lets proposers of a lower rank go first. */
+internal fun GroupsStepBuilder.evaluateSightings(
+    database: DatabaseName,
+    reports: PersistentMap<NodeIdentity, Boolean>,
+) {
+    val groupState = group(database) ?: return
+    val rank = ownRank(groupState, reports)
     when {
-        !isJustified(reports) || !known.mayPropose(now) -> pause(database)
+        !majorityMissesPrimary(reports) || !groupState.mayPropose(now) -> backOff(database)
         rank == 0 -> readRecord(database)
         else -> {
-            moveTo(database, FailoverState.AwaitingTurn(reports))
+            setFailover(database, FailoverState.DelayingProposal(reports))
             emit(Effect.StartTimer(TimerKey.FailoverStep(database), settings.proposerStagger * rank))
         }
     }
 }
 
-/** Proposes if the primary is still missing after the wait for the proposers of a lower rank. */
-internal fun GroupsTurn.takeTurn(database: DatabaseName) {
-    val known = group(database) ?: return
-    if (known.mayPropose(now)) readRecord(database) else pause(database)
+/** Proposes if a new primary is still needed after the wait for proposers of a lower rank. */
+internal fun GroupsStepBuilder.proposeIfStillNeeded(database: DatabaseName) {
+    val groupState = group(database) ?: return
+    if (groupState.mayPropose(now)) readRecord(database) else backOff(database)
 }
 
-internal fun GroupsTurn.collectSightings(known: GroupState) {
-    val asked = otherMonitors(known.group)
-    moveTo(known.name, FailoverState.CollectingSightings(asked.toSet()))
+/** Asks the other monitors whether they reach the primary, which is the first step of a failover. */
+internal fun GroupsStepBuilder.requestSightings(groupState: GroupState) {
+    val asked = otherMonitors(groupState.group)
+    setFailover(groupState.name, FailoverState.CollectingSightings(asked.toSet()))
     if (asked.isEmpty()) {
-        weighSightings(known.name, persistentMapOf())
+        evaluateSightings(groupState.name, persistentMapOf())
     } else {
-        asked.forEach { send(it, PeerMessage.SightingRequested(known.name, known.term)) }
-        emit(Effect.StartTimer(TimerKey.FailoverStep(known.name), settings.sightingWait))
+        asked.forEach { sendToPeer(it, PeerMessage.SightingRequested(groupState.name, groupState.term)) }
+        emit(Effect.StartTimer(TimerKey.FailoverStep(groupState.name), settings.sightingWait))
     }
 }
 
-// The monitor next to an isolated primary never answers; waiting for it would only prolong the failover gap.
+// A monitor that is isolated together with the primary never answers; waiting for it would delay every such failover.
 private fun isDecided(asked: Set<NodeIdentity>, reports: PersistentMap<NodeIdentity, Boolean>): Boolean =
-    reports.keys.containsAll(asked) || missing(reports) > asked.size + 1 - missing(reports)
+    reports.keys.containsAll(asked) || countMissing(reports) > asked.size + 1 - countMissing(reports)
 
-private fun isJustified(reports: PersistentMap<NodeIdentity, Boolean>): Boolean =
-    missing(reports) > reports.values.count { it }
+private fun majorityMissesPrimary(reports: PersistentMap<NodeIdentity, Boolean>): Boolean =
+    countMissing(reports) > reports.values.count { it }
 
-// The monitors that miss the primary, this process included.
-private fun missing(reports: PersistentMap<NodeIdentity, Boolean>): Int = 1 + reports.values.count { !it }
+// Number of monitors that do not reach the primary, including this process.
+private fun countMissing(reports: PersistentMap<NodeIdentity, Boolean>): Int = 1 + reports.values.count { !it }
 
-// Only monitors that miss the primary propose, so only these are ranked.
-private fun GroupsTurn.ownRank(known: GroupState, reports: PersistentMap<NodeIdentity, Boolean>): Int {
+// Only monitors that do not reach the primary propose, so only these are ranked.
+private fun GroupsStepBuilder.ownRank(groupState: GroupState, reports: PersistentMap<NodeIdentity, Boolean>): Int {
     val proposers = reports.filterValues { !it }.keys + state.settings.self
-    return RendezvousHash.rank(known.name.value, proposers) { it.peerEndpoint }.indexOf(state.settings.self)
+    return RendezvousHash.rank(groupState.name.value, proposers) { it.peerEndpoint }.indexOf(state.settings.self)
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Suspicion.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Suspicion.kt
@@ -6,47 +6,48 @@
 import dev.hibiscusreach.core.model.MonotonicTime
 import dev.hibiscusreach.core.model.ServerName
 
-/** Starts a failover if the group needs a new primary and none is under way. */
-internal fun GroupsTurn.watchPrimary(database: DatabaseName) {
-    val known = group(database) ?: return
-    val idle = known.failover is FailoverState.Watching || known.failover is FailoverState.Recording
-    val due = known.retiredAt == null && now >= known.failoverNotBefore
-    if (idle && due && known.needsPrimary(now)) collectSightings(known)
+/** Starts a failover if the group needs a new primary and no failover is in progress. */
+internal fun GroupsStepBuilder.startFailoverIfNeeded(database: DatabaseName) {
+    val groupState = group(database) ?: return
+    val idle = groupState.failover is FailoverState.Watching || groupState.failover is FailoverState.Recording
+    val due = groupState.retiredAt == null && now >= groupState.failoverNotBefore
+    if (idle && due && groupState.needsNewPrimary(now)) requestSightings(groupState)
 }
 
-/** Whether the group has no primary that works, for long enough to be replaced. */
-internal fun GroupState.needsPrimary(now: MonotonicTime): Boolean =
+/** Whether the group has been without a working primary for long enough to start a failover. */
+internal fun GroupState.needsNewPrimary(now: MonotonicTime): Boolean =
     when {
-        highestTerm > term -> now - highestTermSince >= proposerLimit()
-        primary == null -> majorityAnswered(now)
-        else -> primaryIsUnfit(now)
+        highestTerm > term -> now - highestTermSince >= proposerTimeout()
+        primary == null -> reachesMajority(now)
+        else -> mustReplacePrimary(now)
     }
 
-/** Whether the primary of the current term is known, but does not answer, was demoted, or is leaving. */
-internal fun GroupState.primaryIsUnfit(now: MonotonicTime): Boolean =
+/** Whether the primary of the current term is known but does not answer, was demoted, or is leaving. */
+internal fun GroupState.mustReplacePrimary(now: MonotonicTime): Boolean =
     primary != null &&
         (healthOf(primary).refusedRepeatedly || isDeposed(primary) || isSilent(now) || canReplaceLeaving(now))
 
-/** Whether this process needs a new primary and reaches enough servers to promote one. */
-internal fun GroupState.mayPropose(now: MonotonicTime): Boolean = needsPrimary(now) && majorityAnswered(now)
+/** Whether the group needs a new primary and this process reaches enough servers to promote one. */
+internal fun GroupState.mayPropose(now: MonotonicTime): Boolean = needsNewPrimary(now) && reachesMajority(now)
 
 /**
- * Whether this process sees the primary work. The limit is shorter than the suspicion's: monitors suspect at slightly
- * different times, and the first must not be outvoted by answers from before the failure.
+ * Whether this process reaches the primary. The limit is shorter than the suspicion time: monitors suspect a primary at
+ * slightly different times, and answers from before the failure must not outvote the first one.
  */
 internal fun GroupState.seesPrimary(now: MonotonicTime): Boolean =
-    primary != null && !needsPrimary(now) && healthOf(primary).isReachable(now, settings.probePeriod * 2)
+    primary != null && !needsNewPrimary(now) && healthOf(primary).isReachable(now, settings.probePeriod * 2)
 
-/** Whether the server itself reports that it is not the primary of the current term any more. */
+/** Whether the server itself reports that it is no longer the primary of the current term. */
 internal fun GroupState.isDeposed(server: ServerName): Boolean {
-    val known = healthOf(server)
-    val status = known.status ?: return false
-    val demoted = status.role == ServerRole.REPLICA && known.statusSentAt >= adoptedAt
+    val serverHealth = healthOf(server)
+    val status = serverHealth.status ?: return false
+    val demoted = status.role == ServerRole.REPLICA && serverHealth.statusSentAt >= adoptedAt
     return status.term > term || (status.term == term && demoted)
 }
 
-// Another proposer gets the failover's time. Where no primary is known there may be none, and nothing to interrupt.
-private fun GroupState.proposerLimit(): Millis =
+// Another proposer gets the failover timeout to finish. Without a known primary the time is shorter: there may be no
+// other proposer, and a new proposal interrupts no working primary.
+private fun GroupState.proposerTimeout(): Millis =
     if (primary == null) settings.suspicionAfter else settings.failoverTimeout
 
 private fun GroupState.isSilent(now: MonotonicTime): Boolean {
@@ -54,12 +55,12 @@
     return now - maxOf(respondedAt, adoptedAt, monitoredSince) >= settings.suspicionAfter
 }
 
-// A leaving primary is replaced while it still works, provided that the others are a majority without it.
+// A leaving primary is replaced while it still works, provided that the remaining servers form a majority without it.
 private fun GroupState.canReplaceLeaving(now: MonotonicTime): Boolean =
     primary != null &&
         isLeaving(primary) &&
         group.servers.count { !isLeaving(it.name) && isReachable(it.name, now) } >= group.majority
 
-// Monitors that cannot reach a majority could only claim a term that they cannot fill.
-private fun GroupState.majorityAnswered(now: MonotonicTime): Boolean =
+// A monitor that does not reach a majority could claim a term but not promote a primary in it.
+private fun GroupState.reachesMajority(now: MonotonicTime): Boolean =
     group.servers.count { isReachable(it.name, now) } >= group.majority
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Terms.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Terms.kt
@@ -4,11 +4,11 @@
 import dev.hibiscusreach.core.model.ServerName
 import dev.hibiscusreach.core.model.Term
 
-/** Takes [primary] for the primary of [term] if no primary of this or a later term is known. */
-internal fun GroupsTurn.adopt(database: DatabaseName, term: Term, primary: ServerName) {
-    val known = group(database) ?: return
-    val news = term > known.term || (term == known.term && known.primary == null)
-    if (!news || term == Term(0)) return
+/** Accepts [primary] as the primary of [term] unless a primary of this or a later term is already known. */
+internal fun GroupsStepBuilder.adoptPrimary(database: DatabaseName, term: Term, primary: ServerName) {
+    val groupState = group(database) ?: return
+    val isNewer = term > groupState.term || (term == groupState.term && groupState.primary == null)
+    if (!isNewer || term == Term(0)) return
     update(database) {
         it.copy(
             term = term,
@@ -18,23 +18,23 @@
             confirms = it.confirms.clear(),
         )
     }
-    noteTerm(database, term)
+    updateHighestTerm(database, term)
     failWaits(database)
-    concludeFailover(database)
+    endFailover(database)
 }
 
-/** Remembers the highest term seen, which stops proposers of lower terms. */
-internal fun GroupsTurn.noteTerm(database: DatabaseName, term: Term) {
-    val known = group(database) ?: return
-    if (term > known.highestTerm) {
+/** Updates the highest term seen; a proposal of a lower term is abandoned. */
+internal fun GroupsStepBuilder.updateHighestTerm(database: DatabaseName, term: Term) {
+    val groupState = group(database) ?: return
+    if (term > groupState.highestTerm) {
         update(database) { it.copy(highestTerm = term, highestTermSince = now) }
-        stopLateProposal(database)
+        abandonOutdatedProposal(database)
     }
 }
 
-/** Ends this process's proposal if a higher term than the proposed one is known. */
-internal fun GroupsTurn.stopLateProposal(database: DatabaseName) {
-    val known = group(database) ?: return
-    val proposed = known.failover.proposedTerm ?: known.term
-    if (known.failover !is FailoverState.Watching && proposed < known.highestTerm) pause(database)
+/** Abandons this process's proposal if a higher term than the proposed one is known. */
+internal fun GroupsStepBuilder.abandonOutdatedProposal(database: DatabaseName) {
+    val groupState = group(database) ?: return
+    val proposed = groupState.failover.proposedTerm ?: groupState.term
+    if (groupState.failover !is FailoverState.Watching && proposed < groupState.highestTerm) backOff(database)
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Waits.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Waits.kt
@@ -6,49 +6,51 @@
 import dev.hibiscusreach.core.event.TimerKey
 import dev.hibiscusreach.core.model.DatabaseName
 
-/** Answers the requests whose wait an observation ended, and keeps the others going. */
-internal fun GroupsTurn.completeWaits(database: DatabaseName) {
-    val known = group(database) ?: return
-    val verifiedAt = known.leadershipVerifiedAt()
-    val durable = known.durabilityWaits.filterValues { known.isSettled(it.position) }.keys
-    val confirmed = known.leadershipWaits.filterValues { verifiedAt != null && verifiedAt >= it.since }.keys
+/** Answers the requests whose condition is met now, and sends the commands that the others still need. */
+internal fun GroupsStepBuilder.completeWaits(database: DatabaseName) {
+    val groupState = group(database) ?: return
+    val verifiedAt = groupState.leadershipVerifiedAt()
+    val durable = groupState.durabilityWaits.filterValues { groupState.isDurable(it.position) }.keys
+    val confirmed = groupState.leadershipWaits.filterValues { verifiedAt != null && verifiedAt >= it.since }.keys
     durable.forEach { endDurabilityWait(database, it, Signal.DurabilityReached(it)) }
     confirmed.forEach { endLeadershipWait(database, it, Signal.LeadershipConfirmed(it)) }
     sendConfirms(database)
     probeForLeadership(database)
 }
 
-/** Ends all waits of [database] because its term changed or this process is not its home any more. */
-internal fun GroupsTurn.failWaits(database: DatabaseName) {
-    val known = group(database) ?: return
-    known.durabilityWaits
-        .filterValues { it.position.term < known.term || known.retiredAt != null }
+/** Fails the waits of [database] that a new term or the move of its home made impossible to complete. */
+internal fun GroupsStepBuilder.failWaits(database: DatabaseName) {
+    val groupState = group(database) ?: return
+    groupState.durabilityWaits
+        .filterValues { it.position.term < groupState.term || groupState.retiredAt != null }
         .keys
         .forEach { endDurabilityWait(database, it, Signal.DurabilityNotReached(it)) }
-    known.leadershipWaits.keys.forEach { endLeadershipWait(database, it, Signal.LeadershipNotConfirmed(it)) }
+    groupState.leadershipWaits.keys.forEach { endLeadershipWait(database, it, Signal.LeadershipNotConfirmed(it)) }
 }
 
-/** Ends the wait of [attempt] because its time ran out. */
-internal fun GroupsTurn.durabilityTimedOut(attempt: AttemptNumber) {
+/** Fails the durability wait of [attempt] because its time ran out. */
+internal fun GroupsStepBuilder.handleDurabilityTimeout(attempt: AttemptNumber) {
     groups.databases.values
         .filter { attempt in it.durabilityWaits }
         .forEach { endDurabilityWait(it.name, attempt, Signal.DurabilityNotReached(attempt)) }
 }
 
-/** Ends the wait of [attempt] because its time ran out. */
-internal fun GroupsTurn.leadershipTimedOut(attempt: AttemptNumber) {
+/** Fails the leadership wait of [attempt] because its time ran out. */
+internal fun GroupsStepBuilder.handleLeadershipTimeout(attempt: AttemptNumber) {
     groups.databases.values
         .filter { attempt in it.leadershipWaits }
         .forEach { endLeadershipWait(it.name, attempt, Signal.LeadershipNotConfirmed(attempt)) }
 }
 
-internal fun GroupsTurn.endDurabilityWait(database: DatabaseName, attempt: AttemptNumber, answer: Signal) {
+/** Ends the durability wait of [attempt] with [answer]. */
+internal fun GroupsStepBuilder.endDurabilityWait(database: DatabaseName, attempt: AttemptNumber, answer: Signal) {
     update(database) { it.copy(durabilityWaits = it.durabilityWaits.remove(attempt)) }
     emit(Effect.CancelTimer(TimerKey.DurabilityTimeout(attempt)))
     signal(answer)
 }
 
-internal fun GroupsTurn.endLeadershipWait(database: DatabaseName, attempt: AttemptNumber, answer: Signal) {
+/** Ends the leadership wait of [attempt] with [answer]. */
+internal fun GroupsStepBuilder.endLeadershipWait(database: DatabaseName, attempt: AttemptNumber, answer: Signal) {
     update(database) { it.copy(leadershipWaits = it.leadershipWaits.remove(attempt)) }
     emit(Effect.CancelTimer(TimerKey.LeadershipTimeout(attempt)))
     signal(answer)
--- a/core/src/test/kotlin/dev/hibiscusreach/core/group/DurabilityTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/group/DurabilityTest.kt
@@ -26,7 +26,7 @@
     private val primaryTerm = primary.term
     private val node = simulation.nodes.first()
 
-    // Guards against an acknowledgement that only the primary backs.
+    // Guards against acknowledging a write that only the primary holds.
     @Test
     fun `a write that no replica holds is not durable`() {
         simulation.replicas.forEach { it.stalled = true }
@@ -37,10 +37,10 @@
         expectThat(node.signals).contains(Signal.DurabilityNotReached(attempt))
     }
 
-    // Guards against a stream of Confirm commands that grows with the number of waiting writes.
+    // Guards against a number of Confirm commands that grows with the number of waiting writes.
     @Test
     fun `waiting writes share one confirm per replica`() {
-        // Replicas are asked once they are known to be in the current term.
+        // Confirm is sent to a replica only after it is known to be in the current term.
         simulation.run(100)
         simulation.replicas.forEach { it.stalled = true }
         repeat(50) { node.write(primary) }
@@ -54,7 +54,7 @@
         expectThat(node.signals.filterIsInstance<Signal.DurabilityReached>().size).isEqualTo(50)
     }
 
-    // Guards against data of a replaced primary that compares lower than the new term and is taken for durable.
+    // Guards against treating entries of a replaced primary as durable because their position is below the new term.
     @Test
     fun `entries that only a replaced primary has are neither durable nor of a known age`() {
         simulation.run(1_000)
@@ -76,15 +76,15 @@
         expectThat(survivor.signals).contains(Signal.DurabilityNotReached(attempt))
     }
 
-    // Guards against a replaced primary that comes back with its own entries and is read or followed.
+    // Guards against a replaced primary that returns with entries that only it has and is read or followed.
     @Test
-    fun `a replaced primary with own entries comes back as a replica without them`() {
+    fun `a replaced primary returns as a replica without the entries that only it had`() {
         simulation.isolate(primary.domain)
         val diverged = primary.write()
         val others = simulation.nodes.filter { it.domain != primary.domain }
         simulation.runUntil { others.all { it.groups.term(database) > primaryTerm } }
         others.first().write(simulation.primary)
-        simulation.cuts.clear()
+        simulation.partitions.clear()
         simulation.run(2_000)
 
         expectThat(primary.role).isEqualTo(ServerRole.REPLICA)
@@ -98,24 +98,24 @@
         expectThat(view.warmUpPercent).isLessThan(50)
     }
 
-    // Guards against an isolated primary whose data is offered as fresh.
+    // Guards against reporting the data of an isolated primary as fresh.
     @Test
     fun `the age of an isolated primary's data grows and its leadership is not confirmed`() {
         simulation.run(1_000)
-        val alone = simulation.nodes.first { it.domain == primary.domain }
-        expectThat(alone.ageAt(primary.applied)).isNotNull().isLessThan(Millis(300))
+        val isolated = simulation.nodes.first { it.domain == primary.domain }
+        expectThat(isolated.ageAt(primary.applied)).isNotNull().isLessThan(Millis(300))
         simulation.isolate(primary.domain)
         simulation.run(5_000)
         val position = primary.write()
         simulation.run(500)
-        val attempt = alone.awaitLeadership()
+        val attempt = isolated.awaitLeadership()
         simulation.run(1_100)
 
-        expectThat(alone.ageAt(position)).isNotNull().isGreaterThan(Millis(5_000))
-        expectThat(alone.signals).contains(Signal.LeadershipNotConfirmed(attempt))
+        expectThat(isolated.ageAt(position)).isNotNull().isGreaterThan(Millis(5_000))
+        expectThat(isolated.signals).contains(Signal.LeadershipNotConfirmed(attempt))
     }
 
-    // Guards against a read with maximum age 0 that waits for the next probe period.
+    // Guards against a read with a maximum age of 0 that has to wait for the next probe period.
     @Test
     fun `leadership is confirmed within a round trip`() {
         simulation.run(1_100)
@@ -125,7 +125,7 @@
         expectThat(node.signals).contains(Signal.LeadershipConfirmed(attempt))
     }
 
-    // Guards against a replica far behind that delays every write, and against its data being offered as fresh.
+    // Guards against a lagging replica that delays every write, and against reporting its data as fresh.
     @Test
     fun `a lagging replica delays no write and the age of its data covers its lag`() {
         val replica = simulation.replicas.first()
@@ -141,7 +141,7 @@
         expectThat(node.ageAt(primary.applied)).isNotNull().isLessThan(Millis(400))
     }
 
-    // Guards against acknowledged writes that a failover loses, for every choice of the failed server.
+    // Guards against losing acknowledged writes in a failover while either of the replicas lags behind.
     @Test
     fun `no acknowledged write is lost over repeated failovers`() {
         val acknowledged = mutableListOf<Position>()
--- a/core/src/test/kotlin/dev/hibiscusreach/core/group/FakePlatform.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/group/FakePlatform.kt
@@ -4,14 +4,14 @@
 import dev.hibiscusreach.core.event.PlatformAnswer
 import dev.hibiscusreach.core.event.PlatformCall
 
-/** Objects with versions and conditional updates; can be down or lose answers. */
+/** In-memory platform with versioned objects and conditional updates; it can be unavailable or lose answers. */
 internal class FakePlatform {
     var down = false
     var putAnswersToLose = 0
     var delay = 1L
     private val objects = mutableMapOf<String, PlatformAnswer.Found>()
 
-    fun record(key: String): GroupRecord? = objects[key]?.let { GroupRecords.decode(it.value) }
+    fun record(key: String): GroupRecord? = objects[key]?.let { GroupRecordCodec.decode(it.value) }
 
     fun answer(call: PlatformCall): PlatformAnswer =
         if (down) {
--- a/core/src/test/kotlin/dev/hibiscusreach/core/group/FakeServer.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/group/FakeServer.kt
@@ -11,7 +11,7 @@
 import dev.hibiscusreach.core.model.Term
 import kotlinx.collections.immutable.persistentListOf
 
-/** A backend server that keeps to the control protocol and holds a log of positions. */
+/** Simulated backend server that implements the control protocol and holds a log of positions. */
 internal class FakeServer(val name: ServerName, val domain: FailureDomainName) {
     var term = Term(0)
     var role = ServerRole.REPLICA
@@ -37,7 +37,7 @@
         if (!stalled && primary.term == term && primary.role == ServerRole.PRIMARY) log = primary.log
     }
 
-    /** The answer, or null as long as a Confirm has to wait. */
+    /** The answer to [command], or null while a Confirm waits for its position. */
     fun answer(command: ControlCommand, waitOver: Boolean): ControlAnswer? =
         when (command) {
             is ControlCommand.Probe -> ControlAnswer.Confirmed(status)
--- a/core/src/test/kotlin/dev/hibiscusreach/core/group/GroupSimulation.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/group/GroupSimulation.kt
@@ -36,20 +36,22 @@
 import java.util.PriorityQueue
 import kotlin.random.Random
 
-/** One database group with a server and a home in each failure domain, on simulated time. */
+/** Simulates one database group with a server and a home in each failure domain, in virtual time. */
 internal class GroupSimulation(domainCount: Int = 3, seed: Int = 1) {
     val database = DatabaseName("jobs")
     val domains = (1..domainCount).map { FailureDomainName("domain-$it") }
     val servers = domains.map { FakeServer(ServerName("server-${it.value}"), it) }
     val platform = FakePlatform()
     val nodes = domains.map { Node(it) }
-    val cuts = mutableSetOf<Set<FailureDomainName>>()
 
-    /** Pairs of domains whose homes lose all messages to each other, although servers are reached. */
-    val mutedPeers = mutableSetOf<Set<FailureDomainName>>()
+    /** Pairs of domains that cannot exchange any messages. */
+    val partitions = mutableSetOf<Set<FailureDomainName>>()
+
+    /** Pairs of domains whose homes cannot reach each other, while each still reaches the other domain's server. */
+    val homePartitions = mutableSetOf<Set<FailureDomainName>>()
 
     /** Extra one-way delay between two domains. */
-    val slowness = mutableMapOf<Set<FailureDomainName>, Long>()
+    val extraLatency = mutableMapOf<Set<FailureDomainName>, Long>()
     var now = START
     private val queue = PriorityQueue<Scheduled>(compareBy({ it.at }, { it.order }))
     private var order = 0L
@@ -91,7 +93,7 @@
         now = end
     }
 
-    /** Runs until [condition] holds and returns the time that it took. */
+    /** Runs until [condition] holds and returns the time taken in milliseconds. */
     fun runUntil(limit: Long = 20_000, condition: () -> Boolean): Long {
         val start = now
         while (!condition()) {
@@ -101,15 +103,15 @@
         return now - start
     }
 
-    /** Runs until every home that is not frozen knows the same primary, above [term]. */
+    /** Runs until all homes that are not paused know the same primary, in a term above [above]; returns the time. */
     fun awaitPrimary(above: Term = Term(0)): Long =
         runUntil {
-            nodes.filter { !it.frozen }.all { it.groups.term(database) > above } &&
-                nodes.filter { !it.frozen }.map { it.groups.primary(database) }.distinct().singleOrNull() != null
+            nodes.filter { !it.paused }.all { it.groups.term(database) > above } &&
+                nodes.filter { !it.paused }.map { it.groups.primary(database) }.distinct().singleOrNull() != null
         }
 
     fun isolate(domain: FailureDomainName) {
-        domains.filter { it != domain }.forEach { cuts += setOf(domain, it) }
+        domains.filter { it != domain }.forEach { partitions += setOf(domain, it) }
     }
 
     private fun replicate() {
@@ -125,22 +127,23 @@
     }
 
     fun isConnected(first: FailureDomainName, second: FailureDomainName): Boolean =
-        setOf(first, second) !in cuts
+        setOf(first, second) !in partitions
 
     private fun latency(first: FailureDomainName, second: FailureDomainName): Long =
-        LATENCY + random.nextLong(JITTER) + (slowness[setOf(first, second)] ?: 0)
+        LATENCY + random.nextLong(JITTER) + (extraLatency[setOf(first, second)] ?: 0)
 
     private class Scheduled(val at: Long, val order: Long, val action: () -> Unit)
 
-    /** A proxy process, which runs only the groups part. */
+    /** A proxy process that runs only the groups part and records the commands and signals that it sends. */
     inner class Node(val domain: FailureDomainName) {
         val identity = NodeIdentity(Endpoint("10.0.0.1", domains.indexOf(domain)), startedAtMillis = 1, nonce = 1)
         val signals = mutableListOf<Signal>()
         val commands = mutableListOf<ControlCommand>()
-        var frozen = false
+        var paused = false
             private set
-        private val recorder = Part { state, event, _ -> Step(state).also { if (event is Signal) signals += event } }
-        private val reducer = ProxyReducer(listOf(GroupsPart(), recorder))
+        private val signalRecorder =
+            Part { state, event, _ -> Step(state).also { if (event is Signal) signals += event } }
+        private val reducer = ProxyReducer(listOf(GroupsPart(), signalRecorder))
         private var state = ProxyState.initial(ProxySettings(identity, domain))
         private val timers = mutableMapOf<TimerKey, Long>()
         private val waiting = mutableListOf<Event>()
@@ -151,18 +154,18 @@
 
         fun start() {
             state = state.copy(configuration = ConfigurationState(index))
-            meet(nodes.filter { it != this }.map { Peer(it.identity, it.domain) })
+            addPeers(nodes.filter { it != this }.map { Peer(it.identity, it.domain) })
             receive(Event.Started)
         }
 
-        fun meet(peers: List<Peer>) {
+        fun addPeers(peers: List<Peer>) {
             val known = state.membership.peers.putAll(peers.associateBy { it.node.peerEndpoint })
             state = state.copy(membership = state.membership.copy(peers = known))
             receive(Signal.MembershipChanged)
         }
 
         fun receive(event: Event) {
-            if (frozen) {
+            if (paused) {
                 waiting += event
                 return
             }
@@ -171,16 +174,16 @@
             transition.effects.forEach(::perform)
         }
 
-        fun freeze() {
-            frozen = true
+        fun pause() {
+            paused = true
         }
 
         fun resume() {
-            frozen = false
+            paused = false
             waiting.toList().also { waiting.clear() }.forEach(::receive)
         }
 
-        /** Writes at [server], as the requests part would report it, and asks for durability. */
+        /** Writes on [server], reports the result as the requests part does, and waits for durability. */
         fun write(server: FakeServer, wait: Long = 1_000): AttemptNumber {
             val position = server.write()
             receive(Signal.ServerObserved(server.status, MonotonicTime(now)))
@@ -203,8 +206,8 @@
             when (effect) {
                 is Effect.StartTimer -> startTimer(effect.key, effect.delay)
                 is Effect.CancelTimer -> timers.remove(effect.key)
-                is Effect.SendControlCommand -> control(effect)
-                is Effect.SendPeerMessage -> message(effect)
+                is Effect.SendControlCommand -> sendCommand(effect)
+                is Effect.SendPeerMessage -> deliver(effect)
                 is Effect.CallPlatform ->
                     schedule(platform.delay) {
                         val answer = platform.answer(effect.request)
@@ -225,16 +228,16 @@
             }
         }
 
-        private fun message(effect: Effect.SendPeerMessage) {
+        private fun deliver(effect: Effect.SendPeerMessage) {
             val peer = nodes.first { it.identity == effect.to }
-            if (isConnected(domain, peer.domain) && setOf(domain, peer.domain) !in mutedPeers) {
+            if (isConnected(domain, peer.domain) && setOf(domain, peer.domain) !in homePartitions) {
                 schedule(latency(domain, peer.domain)) {
                     peer.receive(Event.PeerMessageReceived(identity, effect.message))
                 }
             }
         }
 
-        private fun control(effect: Effect.SendControlCommand) {
+        private fun sendCommand(effect: Effect.SendControlCommand) {
             commands += effect.command
             val server = servers.first { it.name == effect.server }
             val deadline = now + effect.timeout.value
--- a/core/src/test/kotlin/dev/hibiscusreach/core/group/GroupStateTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/group/GroupStateTest.kt
@@ -27,7 +27,7 @@
             termStart = start,
         ).seeing(0, term = 2, position(term = 2, index = 11), sentAt = 300)
 
-    // Guards against entries of a replaced primary that count as held because their server was fenced.
+    // Guards against counting entries of a replaced primary as durable because their server is fenced in the new term.
     @Test
     fun `entries past the start of the term count only up to that start`() {
         val fenced =
@@ -38,9 +38,9 @@
         expectThat(fenced.durable()).isEqualTo(start)
     }
 
-    // Guards against entries that count although nothing tells whether the current primary has them.
+    // Guards against counting entries as durable while it is unknown whether the current primary has them.
     @Test
-    fun `older entries count for nothing as long as the start of the term is unknown`() {
+    fun `older entries do not count as long as the start of the term is unknown`() {
         val unknown = state.copy(termStart = null).seeing(1, term = 2, position(term = 1, index = 20), sentAt = 200)
 
         expectThat(unknown.durable()).isEqualTo(Position.ORIGIN)
@@ -48,7 +48,7 @@
 
     // Guards against a replaced primary that keeps answering with its old term.
     @Test
-    fun `a server in another term backs neither durability nor leadership`() {
+    fun `a server in another term counts for neither durability nor leadership`() {
         val split =
             state
                 .seeing(1, term = 1, position(term = 1, index = 20), sentAt = 200)
@@ -58,7 +58,7 @@
         expectThat(split.leadershipVerifiedAt()).isNull()
     }
 
-    // Guards against leadership taken from the latest answer instead of the one that completes a majority.
+    // Guards against dating leadership by the latest answer instead of the one that completes a majority.
     @Test
     fun `leadership is verified as of the answer that completes a majority`() {
         val answered = state.seeing(2, term = 2, start, sentAt = 100)
@@ -66,7 +66,7 @@
         expectThat(answered.leadershipVerifiedAt()).isEqualTo(MonotonicTime(100))
     }
 
-    // Guards against reads of entries that were never acknowledged, at a server that was fenced but does not follow.
+    // Guards against reads of unacknowledged entries on a server that was fenced but does not follow the primary yet.
     @Test
     fun `a server is offered for reads only once it follows the primary`() {
         val fenced = state.seeing(1, term = 2, position(term = 1, index = 20), sentAt = 200)
@@ -78,7 +78,7 @@
             .isEqualTo(listOf(false, false, true))
     }
 
-    // Guards against an outdated answer that arrives late and undoes what is known of a server.
+    // Guards against an outdated answer that arrives late and overwrites the newer state of a server.
     @Test
     fun `late answers change neither term nor position`() {
         val late =
@@ -90,17 +90,17 @@
         expectThat(late.healthOf(names[1]).status?.applied).isEqualTo(position(term = 2, index = 11))
     }
 
-    // Guards against a list of samples that grows with the writes of a long partition.
+    // Guards against a list of samples that grows without bound during a long partition.
     @Test
-    fun `samples stay bounded and reach far back`() {
+    fun `samples stay bounded and cover a long time`() {
         val samples =
             (1L..10_000).fold(HeadSamples()) { list, number ->
                 val sent = MonotonicTime(number * 50)
-                list.including(HeadSample(sent, position(term = 2, number), Term(2))).verifiedUntil(Term(2), sent)
+                list.adding(HeadSample(sent, position(term = 2, number), Term(2))).verifiedUntil(Term(2), sent)
             }
 
         expectThat(samples.verified.size).isLessThan(300)
-        // At most one eighth of the age too cautious.
+        // Thinning may make an age appear up to one eighth too high.
         expectThat(samples.sentAt(5_000)).isIn(215_000L..250_000L)
         expectThat(samples.sentAt(9_999)).isIn(499_900L..499_950L)
     }
--- a/core/src/test/kotlin/dev/hibiscusreach/core/group/HomesTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/group/HomesTest.kt
@@ -20,11 +20,11 @@
     private val simulation = GroupSimulation().apply { awaitPrimary() }
     private val node = simulation.nodes.first()
 
-    // Guards against requests in flight that fail when the home moves, and against state that is never dropped.
+    // Guards against failing requests in flight when the home moves, and against state that is never dropped.
     @Test
-    fun `a former home ends its requests and then keeps nothing`() {
-        val newcomers = (1..20).map { NodeIdentity(Endpoint("10.0.0.2", it), startedAtMillis = 1, nonce = 1) }
-        node.meet(newcomers.map { Peer(it, node.domain) })
+    fun `a former home completes its requests and then drops the group`() {
+        val newPeers = (1..20).map { NodeIdentity(Endpoint("10.0.0.2", it), startedAtMillis = 1, nonce = 1) }
+        node.addPeers(newPeers.map { Peer(it, node.domain) })
         val attempt = node.write(simulation.primary)
         simulation.run(50)
         expectThat(node.signals).contains(Signal.DurabilityReached(attempt))
@@ -37,7 +37,7 @@
         expectThat(node.signals).contains(Signal.DurabilityNotReached(late))
     }
 
-    // Guards against work for a server that the platform lists as leaving while its own answers do not say so.
+    // Guards against sending work to a server that the platform lists as leaving but whose own status does not say so.
     @Test
     fun `a server listed as leaving is shown as leaving`() {
         val leaving = simulation.replicas.first().name
@@ -47,7 +47,7 @@
         expectThat(views.filter { it.leaving }.map { it.name }).isEqualTo(listOf(leaving))
     }
 
-    // Guards against a returning server that gets its full share of reads with cold caches.
+    // Guards against sending a returning server its full share of reads while its caches are cold.
     @Test
     fun `a server that comes back gets a growing share of reads`() {
         val replica = simulation.replicas.first()
@@ -60,9 +60,9 @@
         expectThat(shares.first() < FULL && shares.last() == FULL).isEqualTo(true)
     }
 
-    // Guards against a selection that depends on the order of changes: two proxies would take themselves for the home.
+    // Guards against a selection that depends on the order of changes, so that two proxies act as the home.
     @Test
-    fun `homes selected step by step are the homes selected at once`() {
+    fun `homes selected incrementally equal the homes selected at once`() {
         val groups = (1..50).map { simulation.group.copy(name = DatabaseName("database-$it")) }
         val index = ConfigurationIndex(Configuration(generation = 1, Inventory(databaseGroups = groups)))
         val nodes = (1..9).map { NodeIdentity(Endpoint("10.0.0.3", it), startedAtMillis = 1, nonce = 1) }
--- a/core/src/test/kotlin/dev/hibiscusreach/core/group/RandomFailuresTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/group/RandomFailuresTest.kt
@@ -17,7 +17,7 @@
 class RandomFailuresTest {
     private class Acknowledged(val position: Position, val at: Long)
 
-    /** A run in which servers, links, homes and the platform fail at random while writes go on. */
+    /** One simulation in which servers, links, homes and the platform fail at random while writes continue. */
     private class Run(seed: Int) {
         val simulation = GroupSimulation(seed = seed)
         val acknowledged = mutableListOf<Acknowledged>()
@@ -29,27 +29,27 @@
         fun step() {
             write()
             simulation.run(random.nextLong(1, 60))
-            collect()
-            checkAges()
+            collectAcknowledged()
+            recordWrongAges()
         }
 
-        fun disturb() {
+        fun injectFault() {
             val domain = simulation.domains.random(random)
             when (random.nextInt(8)) {
                 0, 1 -> simulation.servers.random(random).up = false
                 2 -> simulation.isolate(domain)
-                3 -> simulation.cuts += setOf(domain, (simulation.domains - domain).random(random))
-                4 -> simulation.nodes.random(random).freeze()
+                3 -> simulation.partitions += setOf(domain, (simulation.domains - domain).random(random))
+                4 -> simulation.nodes.random(random).pause()
                 5 -> simulation.servers.random(random).stalled = true
                 6 -> simulation.platform.putAnswersToLose = 2
-                else -> simulation.slowness[setOf(domain, simulation.domains.random(random))] = random.nextLong(900)
+                else -> simulation.extraLatency[setOf(domain, simulation.domains.random(random))] = random.nextLong(900)
             }
         }
 
-        fun heal() {
-            simulation.cuts.clear()
-            simulation.slowness.clear()
-            simulation.nodes.filter { it.frozen }.forEach { it.resume() }
+        fun endFaults() {
+            simulation.partitions.clear()
+            simulation.extraLatency.clear()
+            simulation.nodes.filter { it.paused }.forEach { it.resume() }
             simulation.servers.forEach {
                 it.up = true
                 it.stalled = false
@@ -57,14 +57,14 @@
         }
 
         private fun write() {
-            val node = simulation.nodes.filter { !it.frozen }.randomOrNull(random) ?: return
+            val node = simulation.nodes.filter { !it.paused }.randomOrNull(random) ?: return
             val target = simulation.servers.find { it.name == node.groups.primary(simulation.database) } ?: return
             if (target.up && target.role == ServerRole.PRIMARY && simulation.isConnected(node.domain, target.domain)) {
                 pending[node.write(target)] = target.applied
             }
         }
 
-        private fun collect() {
+        private fun collectAcknowledged() {
             simulation.nodes.forEach { node ->
                 node.signals.drop(signalsRead[node] ?: 0).filterIsInstance<Signal.DurabilityReached>().forEach {
                     acknowledged += Acknowledged(pending.getValue(it.attempt), simulation.now)
@@ -73,9 +73,9 @@
             }
         }
 
-        private fun checkAges() {
+        private fun recordWrongAges() {
             val now = MonotonicTime(simulation.now)
-            for (node in simulation.nodes.filter { !it.frozen }) {
+            for (node in simulation.nodes.filter { !it.paused }) {
                 for (server in simulation.servers) {
                     val age = node.groups.ageOf(simulation.database, server.applied, now) ?: continue
                     val covered = acknowledged.filter { it.at < simulation.now - age.value }
@@ -85,7 +85,8 @@
         }
     }
 
-    // Guards against lost acknowledged writes, two primaries in one term and wrong ages under combined failures.
+    // Guards against lost acknowledged writes, two primaries in one term, and ages that are too low, all under
+    // combinations of failures.
     @ParameterizedTest
     @ValueSource(ints = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10])
     fun `random failures lose no acknowledged write and promote one server per term`(seed: Int) {
@@ -93,11 +94,11 @@
         run.simulation.awaitPrimary()
         repeat(6) {
             repeat(60) { run.step() }
-            run.disturb()
+            run.injectFault()
             repeat(60) { run.step() }
-            run.disturb()
+            run.injectFault()
             repeat(60) { run.step() }
-            run.heal()
+            run.endFaults()
         }
         run.simulation.run(10_000)
 
