--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/ControlCalls.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/ControlCalls.kt
@@ -50,7 +50,7 @@
         it.withHealth(server) { health -> health.failed(failure, attemptedAt, settings.probePeriod) }
     }
     if (before.isReachable(server, now) && group(database)?.isReachable(server, now) == false) {
-        signal(Signal.GroupObserved(database))
+        signal(Signal.GroupStatusChanged(database))
     }
     startFailoverIfNeeded(database)
 }
@@ -59,5 +59,5 @@
     update(call.database) {
         it.withHealth(call.server) { health -> health.copy(followedTerm = command.term) }
     }
-    signal(Signal.GroupObserved(call.database))
+    signal(Signal.GroupStatusChanged(call.database))
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Durability.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Durability.kt
@@ -14,7 +14,7 @@
 private val CONFIRM_WAIT = 500.milliseconds
 
 /** Answers the request at once if it can be decided, and as soon as a majority holds the position otherwise. */
-internal fun GroupsStepBuilder.awaitDurability(request: Signal.DurabilityWanted) {
+internal fun GroupsStepBuilder.awaitDurability(request: Signal.DurabilityRequested) {
     val groupState = group(request.database)
     when {
         groupState == null || request.waitUntil <= now || groupState.cannotBecomeDurable(request.position) ->
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Following.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Following.kt
@@ -4,13 +4,13 @@
 import dev.hibiscusreach.core.model.DatabaseName
 import dev.hibiscusreach.core.model.MonotonicTime
 import dev.hibiscusreach.core.model.ServerName
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 
 /** Minimum time between two Follow commands to the same server. */
-private val FOLLOW_RETRY_INTERVAL = 1.inSeconds
+private val FOLLOW_RETRY_INTERVAL = 1.seconds
 
 /** A replica that is behind and made no progress for this time may have lost the setting which server to follow. */
-private val STALLED_AFTER = 2.inSeconds
+private val STALLED_AFTER = 2.seconds
 
 /** Sends a Follow command to [server] unless it is known to follow the primary of the current term. */
 internal fun GroupsStepBuilder.ensureFollowing(database: DatabaseName, server: ServerName) {
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/GroupsPart.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/GroupsPart.kt
@@ -7,13 +7,13 @@
 import dev.hibiscusreach.core.event.Signal
 import dev.hibiscusreach.core.event.TimerKey
 import dev.hibiscusreach.core.model.DatabaseName
-import dev.hibiscusreach.core.reducer.Part
 import dev.hibiscusreach.core.reducer.ProxyState
+import dev.hibiscusreach.core.reducer.ReducerPart
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
 
 /** Monitors the health, terms and positions of the database groups and replaces failed primaries. */
-internal class GroupsPart : Part {
+internal class GroupsPart : ReducerPart {
     override fun handle(state: ProxyState, event: Event, context: StepContext): Step =
         when (event) {
             is Event.Started -> step(state, context) { handleStart() }
@@ -75,8 +75,8 @@
         is Signal.PauseDetected -> resetAfterPause()
         is Signal.ServerObserved -> observeSessionStatus(signal)
         is Signal.ServerFailed -> handleServerFailure(signal.server, signal.failure, now)
-        is Signal.DurabilityWanted -> awaitDurability(signal)
-        is Signal.LeadershipWanted -> awaitLeadership(signal)
+        is Signal.DurabilityRequested -> awaitDurability(signal)
+        is Signal.LeadershipCheckRequested -> awaitLeadership(signal)
         else -> Unit
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Lag.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Lag.kt
@@ -2,13 +2,13 @@
 
 import dev.hibiscusreach.core.model.MonotonicTime
 import dev.hibiscusreach.core.model.ServerName
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 
 /** A replica whose data is older than this is far behind. */
-private val FAR_BEHIND = 5.inSeconds
+private val FAR_BEHIND = 5.seconds
 
 /** A replica that was far behind has caught up once the age of its data is below this. */
-private val CAUGHT_UP = 1.inSeconds
+private val CAUGHT_UP = 1.seconds
 
 /** Marks the replicas that are far behind, and begins the warm-up of those that have caught up. */
 internal fun GroupState.withLagUpdated(now: MonotonicTime): GroupState {
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Leadership.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Leadership.kt
@@ -6,7 +6,7 @@
 import dev.hibiscusreach.core.model.DatabaseName
 
 /** Confirms the leadership once a majority answered in the current term to commands sent at or after the given time. */
-internal fun GroupsStepBuilder.awaitLeadership(request: Signal.LeadershipWanted) {
+internal fun GroupsStepBuilder.awaitLeadership(request: Signal.LeadershipCheckRequested) {
     val groupState = group(request.database)
     val verifiedAt = groupState?.leadershipVerifiedAt()
     when {
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/Observation.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/Observation.kt
@@ -22,7 +22,7 @@
     completeWaits(database)
     val after = group(database) ?: return
     if (after.routingChanged(before, status.server, now)) {
-        signal(Signal.GroupObserved(database))
+        signal(Signal.GroupStatusChanged(database))
     }
 }
 
--- a/core/src/main/kotlin/dev/hibiscusreach/core/group/ServerViews.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/group/ServerViews.kt
@@ -4,11 +4,11 @@
 import dev.hibiscusreach.core.model.MonotonicTime
 import dev.hibiscusreach.core.model.Position
 import dev.hibiscusreach.core.model.ServerName
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 import kotlin.math.roundToLong
 
 /** Time until a returning server, whose caches are cold, gets its full share of reads. */
-private val WARM_UP = 10.inSeconds
+private val WARM_UP = 10.seconds
 private const val MINIMUM_WARM_UP_PERCENT = 10L
 private const val FULL_PERCENT = 100L
 
