--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/Arrivals.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/Admission.kt
@@ -14,32 +14,32 @@
 import dev.hibiscusreach.core.model.NodeIdentity
 import dev.hibiscusreach.core.model.RequestBody
 
-/** The work of a request until its checks have passed; it changes nothing. */
-private val UNCHECKED: Work = Work.Begin
+/** Placeholder operation of a request that is not validated yet; it changes no data. */
+private val UNCHECKED_OPERATION: Operation = Operation.Begin
 
-/** Accepts or refuses a caller's request. */
-internal fun StepBuilder.arrive(event: Event.RequestArrived) =
-    accept(
+/** Admits or refuses a caller's request. */
+internal fun StepBuilder.onRequestArrived(event: Event.RequestArrived) =
+    admitOrRefuse(
         PendingRequest(
             arrival = event.arrival,
             origin = RequestOrigin.Caller,
             request = event.request,
             hops = 0,
-            work = UNCHECKED,
+            operation = UNCHECKED_OPERATION,
             deadline = deadline(event.request),
         ),
     )
 
-/** Accepts or refuses a request that a peer forwarded. */
-internal fun StepBuilder.arrive(from: NodeIdentity, message: PeerMessage.ForwardedRequest) =
-    accept(
+/** Admits or refuses a request that a peer forwarded. */
+internal fun StepBuilder.onForwardedRequest(from: NodeIdentity, message: PeerMessage.ForwardedRequest) =
+    admitOrRefuse(
         PendingRequest(
-            // Negative, so that it differs from the numbers that the caller endpoint gives.
+            // Negative, because the caller endpoint assigns the positive numbers.
             arrival = ArrivalNumber(-nextNumber()),
             origin = RequestOrigin.Peer(from, message.arrival),
             request = message.request,
             hops = message.hops,
-            work = UNCHECKED,
+            operation = UNCHECKED_OPERATION,
             deadline = deadline(message.request),
         ),
     )
@@ -47,18 +47,18 @@
 private fun StepBuilder.deadline(request: CallerRequest): MonotonicTime =
     now + minOf(maxOf(request.deadline, Millis(1)), settings.request.maximumDeadline)
 
-private fun StepBuilder.accept(request: PendingRequest) {
-    val refusal = refusalOfNewWork(request.request)
+private fun StepBuilder.admitOrRefuse(request: PendingRequest) {
+    val refusal = admissionRefusal(request.request)
     if (refusal == null) {
-        RequestCheck(index, settings.request, context.wallClockMillis)
-            .workOf(request.request)
-            .fold(success = { admit(request.copy(work = it)) }, failure = { reply(request, it) })
+        RequestCheck(configurationIndex, settings.request, context.wallClockMillis)
+            .operationOf(request.request)
+            .fold(success = { admit(request.copy(operation = it)) }, failure = { reply(request, it) })
     } else {
         reply(request, refusal)
     }
 }
 
-private fun StepBuilder.refusalOfNewWork(request: CallerRequest): CallerAnswer.Refused? =
+private fun StepBuilder.admissionRefusal(request: CallerRequest): CallerAnswer.Refused? =
     when {
         slice.pending.size >= settings.request.maximumInFlight ->
             refusal(ErrorKind.OVERLOADED, "too many requests are in flight on this proxy")
@@ -82,20 +82,23 @@
     }
 
 private fun StepBuilder.admit(request: PendingRequest) {
-    val budget = slice.budgets[request.database] ?: RetryBudget.full(settings.request)
-    slice = slice.copy(budgets = slice.budgets.put(request.database, budget.credited(settings.request)))
+    val budget = slice.retryBudgets[request.database] ?: RetryBudget.full(settings.request)
+    slice = slice.copy(retryBudgets = slice.retryBudgets.put(request.database, budget.credited(settings.request)))
     startTimer(TimerKey.RequestDeadline(request.arrival), request.deadline)
     route(store(request))
 }
 
-/** Ends the request of a caller that disconnected, but awaits the answer to a sent command to keep its connection. */
-internal fun StepBuilder.disconnect(arrival: ArrivalNumber) {
+/**
+ * Ends the request of a caller that disconnected. If a command was sent, the request stays until the server answers,
+ * so that the connection can be reused.
+ */
+internal fun StepBuilder.onCallerDisconnected(arrival: ArrivalNumber) {
     val request = slice.pending[arrival]?.copy(abandoned = true) ?: return
     when (val phase = request.phase) {
         is RequestPhase.Sent, is RequestPhase.Verifying -> store(request)
 
         is RequestPhase.Connecting -> {
-            withdraw(phase)
+            cancelConnectionRequest(phase)
             abandon(request)
         }
 
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/Draining.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/Draining.kt
@@ -6,23 +6,23 @@
 import dev.hibiscusreach.core.event.Signal
 import dev.hibiscusreach.core.event.TimerKey
 
-/** Starts the graceful shutdown. */
-internal fun StepBuilder.startDrain() {
+/** Starts the graceful shutdown; a repeated call has no effect. */
+internal fun StepBuilder.onDrainRequested() {
     if (slice.drainPhase == DrainPhase.SERVING) {
-        advance(DrainPhase.LEAVING)
+        enterDrainPhase(DrainPhase.LEAVING)
         startTimer(TimerKey.DrainStep, now + settings.request.leavingNotice)
     }
 }
 
-/** Handles the end of the current phase's time. */
-internal fun StepBuilder.drainStep() {
+/** Advances the graceful shutdown when the time of its current phase has run out. */
+internal fun StepBuilder.onDrainStep() {
     when (slice.drainPhase) {
         DrainPhase.SERVING, DrainPhase.FINISHED -> Unit
 
         DrainPhase.LEAVING -> {
             val end = now + settings.request.drainLimit
-            advance(DrainPhase.FINISHING)
-            slice = slice.copy(transactionsEndAt = end)
+            enterDrainPhase(DrainPhase.FINISHING)
+            slice = slice.copy(drainDeadline = end)
             startTimer(TimerKey.DrainStep, end)
             finishDrainIfIdle()
         }
@@ -31,14 +31,14 @@
         DrainPhase.FINISHING ->
             slice.transactions.values
                 .toList()
-                .forEach { interrupt(it, "this proxy is shutting down") }
+                .forEach { interruptTransaction(it, "this proxy is shutting down") }
     }
 }
 
-/** Ends the shutdown once nothing is left to finish. */
+/** Completes the graceful shutdown once no request and no transaction is left. */
 internal fun StepBuilder.finishDrainIfIdle() {
     val idle = slice.pending.isEmpty() && slice.transactions.isEmpty()
-    if (slice.drainPhase == DrainPhase.FINISHING && idle) advance(DrainPhase.FINISHED)
+    if (slice.drainPhase == DrainPhase.FINISHING && idle) enterDrainPhase(DrainPhase.FINISHED)
 }
 
 private fun StepBuilder.progress(phase: DrainPhase): Map<String, String> =
@@ -48,7 +48,7 @@
         "transactions" to slice.transactions.size.toString(),
     )
 
-private fun StepBuilder.advance(phase: DrainPhase) {
+private fun StepBuilder.enterDrainPhase(phase: DrainPhase) {
     slice = slice.copy(drainPhase = phase)
     signal(Signal.DrainAdvanced(phase))
     emit(Effect.Log(LogLevel.INFO, "graceful shutdown advanced", progress(phase)))
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/Forwarding.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/Forwarding.kt
@@ -10,17 +10,17 @@
 import dev.hibiscusreach.core.model.NodeIdentity
 import dev.hibiscusreach.core.model.RequestBody
 
-/** Allowance for the transit to a peer and back, which takes 16 ms over the link between regions. */
-private const val TRANSIT_MILLIS = 50L
+/** Time reserved for the round trip to a peer, which takes 16 ms over the link between regions. */
+private const val TRANSIT_ALLOWANCE_MILLIS = 50L
 
-/** The transit allowance is at most this fraction of the remaining time, so that short deadlines keep most of it. */
-private const val TRANSIT_DIVISOR = 10
+/** The transit allowance is at most one part in this many of the remaining time, which matters for short deadlines. */
+private const val TRANSIT_ALLOWANCE_DIVISOR = 10
 
-/** Refusals that hold for all attempts under the identifier; a cancellation is reported only once it is durable. */
-private val SETTLING_KINDS = setOf(ErrorKind.REQUEST_CANCELLED, ErrorKind.REQUEST_IDENTIFIER_REUSED)
+/** Refusals that apply to every attempt under the identifier; a cancellation is reported only once it is durable. */
+private val DEFINITIVE_KINDS = setOf(ErrorKind.REQUEST_CANCELLED, ErrorKind.REQUEST_IDENTIFIER_REUSED)
 
-/** Refusals that say something about the peer and not about the request, which this process has checked itself. */
-private val PEER_KINDS =
+/** Refusals that depend on the state of the peer and not on the request, which this process has validated itself. */
+private val PEER_STATE_KINDS =
     setOf(
         ErrorKind.DRAINING,
         ErrorKind.NO_CONFIGURATION,
@@ -28,13 +28,13 @@
         ErrorKind.UNKNOWN_CALLER,
     )
 
-private const val PEER = "peer"
+private const val LOST_PEER_REASON = "peer"
 
-/** Forwards [request] to [peer]. */
+/** Forwards [request] to [peer] with the remaining time less the transit allowance. */
 internal fun StepBuilder.forward(request: PendingRequest, peer: NodeIdentity) {
     val remaining = request.deadline - now
-    val allowed = Millis(remaining.value - minOf(TRANSIT_MILLIS, remaining.value / TRANSIT_DIVISOR))
-    // Each forward has its own number, so that a late answer to an earlier one is not taken for the answer to this one.
+    val allowed = Millis(remaining.value - minOf(TRANSIT_ALLOWANCE_MILLIS, remaining.value / TRANSIT_ALLOWANCE_DIVISOR))
+    // Each forward has its own number, so that a late answer to an earlier forward is not matched to this one.
     val number = ArrivalNumber(-nextNumber())
     count(CounterName.FORWARDED_REQUESTS, fleet.domainOf(peer)?.value.orEmpty())
     val forwarded = requestToForward(request).copy(deadline = allowed)
@@ -43,14 +43,14 @@
 }
 
 private fun requestToForward(request: PendingRequest) =
-    when (val work = request.work) {
-        is Work.Resolve -> request.request.copy(body = RequestBody.ResolveOutcome(work.identifier))
+    when (val operation = request.operation) {
+        is Operation.Resolve -> request.request.copy(body = RequestBody.ResolveOutcome(operation.identifier))
         else -> request.request
     }
 
-/** Relays a peer's answer, or routes the request again if the peer drains or its configuration is behind. */
-internal fun StepBuilder.answeredByPeer(from: NodeIdentity, message: PeerMessage.ForwardedAnswer) {
-    val request = slice.index.forwards[message.arrival]?.let { slice.pending[it] }
+/** Relays a peer's answer, or routes the request again if the peer is draining or its configuration is outdated. */
+internal fun StepBuilder.onForwardedAnswer(from: NodeIdentity, message: PeerMessage.ForwardedAnswer) {
+    val request = slice.phaseIndex.byForward[message.arrival]?.let { slice.pending[it] }
     val phase = request?.phase
     if (phase is RequestPhase.Forwarded && phase.peer == from) {
         relayAnswer(request, from, message.answer)
@@ -60,50 +60,58 @@
 }
 
 private fun StepBuilder.relayAnswer(request: PendingRequest, from: NodeIdentity, answer: CallerAnswer) {
-    val free = store(request.copy(phase = RequestPhase.Arrived))
-    val work = request.work
+    val unrouted = store(request.copy(phase = RequestPhase.Arrived))
+    val operation = request.operation
     when {
-        answer !is CallerAnswer.Refused -> completedByPeer(free, answer)
+        answer !is CallerAnswer.Refused -> relayCompletion(unrouted, answer)
 
-        answer.kind in PEER_KINDS -> {
-            val elsewhere = free.copy(avoidedPeers = free.avoidedPeers + from)
-            if (work is Work.InTransaction) ownerLost(elsewhere, work) else route(store(elsewhere))
+        answer.kind in PEER_STATE_KINDS -> {
+            val avoidingPeer = unrouted.copy(avoidedPeers = unrouted.avoidedPeers + from)
+            if (operation is Operation.InTransaction) {
+                handleLostOwner(avoidingPeer, operation)
+            } else {
+                route(store(avoidingPeer))
+            }
         }
 
-        free.mayHaveRun && answer.kind !in SETTLING_KINDS -> refuse(free, answer.kind, answer.message)
+        unrouted.mayHaveRun && answer.kind !in DEFINITIVE_KINDS -> refuse(unrouted, answer.kind, answer.message)
 
-        else -> reply(free, answer)
+        else -> reply(unrouted, answer)
     }
 }
 
-private fun StepBuilder.completedByPeer(request: PendingRequest, answer: CallerAnswer) {
-    val recorded = (request.work as? Work.Resolve)?.recorded
-    if (recorded == null) reply(request, answer) else route(store(request.copy(work = recorded)))
+private fun StepBuilder.relayCompletion(request: PendingRequest, answer: CallerAnswer) {
+    val recorded = (request.operation as? Operation.Resolve)?.recorded
+    if (recorded == null) reply(request, answer) else route(store(request.copy(operation = recorded)))
 }
 
-/** Handles the loss of [peer]: nothing that was forwarded to it will be answered. */
-internal fun StepBuilder.peerLost(peer: NodeIdentity) {
-    noteUnreachable(peer)
-    slice.index.peers[peer].orEmpty().mapNotNull { slice.pending[it] }.forEach { forwardLost(it, peer) }
+/** Handles the loss of [peer], which will not answer the requests that were forwarded to it. */
+internal fun StepBuilder.onPeerLost(peer: NodeIdentity) {
+    markUnreachable(peer)
+    slice.phaseIndex.byPeer[peer].orEmpty().mapNotNull { slice.pending[it] }.forEach { handleLostForward(it, peer) }
 }
 
 /** Handles the loss of the answer to a request that was forwarded to [peer]. */
-internal fun StepBuilder.forwardLost(request: PendingRequest, peer: NodeIdentity) {
-    val free = store(request.copy(phase = RequestPhase.Arrived, avoidedPeers = request.avoidedPeers + peer))
-    when (val work = request.work) {
-        is Work.Run, is Work.Rollback ->
-            refuseAsSettled(free, ErrorKind.OUTCOME_UNKNOWN, "the proxy that holds the transaction cannot be reached")
-
-        // Not counted as a retry of the database: the lost peer may not have sent the request to a server.
-        is Work.Read, is Work.Begin, is Work.Resolve -> route(free)
-
-        is Work.Write ->
-            if (work.key == null) {
-                route(store(free.copy(mayHaveRun = true)))
+internal fun StepBuilder.handleLostForward(request: PendingRequest, peer: NodeIdentity) {
+    val unrouted = store(request.copy(phase = RequestPhase.Arrived, avoidedPeers = request.avoidedPeers + peer))
+    when (val operation = request.operation) {
+        is Operation.Run, is Operation.Rollback ->
+            refuseDefinitively(
+                unrouted,
+                ErrorKind.OUTCOME_UNKNOWN,
+                "the proxy that holds the transaction cannot be reached",
+            )
+
+        // Not charged to the retry budget, because the lost peer may not have sent the request to a server.
+        is Operation.Read, is Operation.Begin, is Operation.Resolve -> route(unrouted)
+
+        is Operation.Write ->
+            if (operation.key == null) {
+                route(store(unrouted.copy(mayHaveRun = true)))
             } else {
-                attemptLost(free, work, PEER)
+                handleLostAnswer(unrouted, operation, LOST_PEER_REASON)
             }
 
-        is Work.Commit -> attemptLost(free, work, PEER)
+        is Operation.Commit -> handleLostAnswer(unrouted, operation, LOST_PEER_REASON)
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/OpenTransaction.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/OpenTransaction.kt
@@ -16,10 +16,10 @@
     val connection: ConnectionNumber,
     val server: ServerName,
     val term: Term,
-    /** The end of the transaction's life, whatever it does. */
-    val endsAt: MonotonicTime,
-    /** When the running timer is due; an earlier firing belongs to an earlier timer. */
+    /** Time at which the transaction ends even if it is in use. */
+    val expiresAt: MonotonicTime,
+    /** Time at which the running timer is due; a timer that fires earlier has been replaced. */
     val timerDue: MonotonicTime,
-    /** The request that uses the transaction now. */
-    val busy: ArrivalNumber? = null,
+    /** The request that is using the transaction, or null if the transaction is idle. */
+    val activeRequest: ArrivalNumber? = null,
 )
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/Work.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/Operation.kt
@@ -5,26 +5,26 @@
 import dev.hibiscusreach.core.model.RequestIdentifier
 import dev.hibiscusreach.core.model.Statement
 
-/** What has to be done for a request. */
-sealed interface Work {
-    /** Whether a lost answer leaves it open what took effect. */
-    val leavesOutcomeOpen: Boolean get() = true
+/** The operation that a request asks for. */
+sealed interface Operation {
+    /** Whether it is unknown what took effect if the answer is lost. */
+    val leavesOutcomeUnknown: Boolean get() = true
 
     /** Reads data that is not older than [maximumAge]. */
-    data class Read(val statements: List<Statement>, val maximumAge: Millis) : Work {
-        override val leavesOutcomeOpen: Boolean get() = false
+    data class Read(val statements: List<Statement>, val maximumAge: Millis) : Operation {
+        override val leavesOutcomeUnknown: Boolean get() = false
     }
 
-    /** Runs statements at the primary; without [key] they may run more than once. */
-    data class Write(val statements: List<Statement>, val key: IdempotencyKey?) : Work
+    /** Runs statements at the primary. Without [key] they may run more than once. */
+    data class Write(val statements: List<Statement>, val key: IdempotencyKey?) : Operation
 
-    /** Opens an interactive transaction. One whose identifier was lost is never committed. */
-    data object Begin : Work {
-        override val leavesOutcomeOpen: Boolean get() = false
+    /** Opens an interactive transaction. If its identifier is lost, it is never committed. */
+    data object Begin : Operation {
+        override val leavesOutcomeUnknown: Boolean get() = false
     }
 
-    /** Work inside an open interactive transaction. */
-    sealed interface InTransaction : Work {
+    /** An operation in an open interactive transaction. */
+    sealed interface InTransaction : Operation {
         /** Identifier of the transaction. */
         val transaction: String
     }
@@ -38,13 +38,13 @@
     /** Rolls an open transaction back. */
     data class Rollback(override val transaction: String) : InTransaction
 
-    /** Finds out whether the request with [identifier] ran and cancels it if it did not. */
+    /** Determines whether the request with [identifier] ran, and cancels it if it did not. */
     data class Resolve(
         val identifier: RequestIdentifier,
         /**
-         * The write to send again if there is a record. It does not run, but its server compares the fingerprints,
-         * which a record alone does not show.
+         * The write to send again if the request has an idempotency record. It does not run again, but the server
+         * compares the fingerprints, which the record alone does not reveal.
          */
         val recorded: Write? = null,
-    ) : Work
+    ) : Operation
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/PeerReachability.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/PeerReachability.kt
@@ -6,26 +6,29 @@
 import dev.hibiscusreach.core.model.inSeconds
 import kotlinx.collections.immutable.toPersistentMap
 
-/** Requests are not forwarded to a lost peer for this long. Membership takes 2 s or more to report it gone. */
+/**
+ * Time for which no new request is forwarded to a peer that was found unreachable. Membership takes 2 s or more to
+ * report a peer as gone.
+ */
 private val UNREACHABLE_PEER_PAUSE: Millis = 1.inSeconds
 
-/** Whether [request] can be forwarded to [peer] with a good chance of an answer. */
+/** Whether [request] may be forwarded to [peer] and the peer was not found unreachable recently. */
 internal fun StepBuilder.canForward(request: PendingRequest, peer: NodeIdentity): Boolean =
-    mayForward(request, peer) && slice.unreachable[peer]?.let { isRecent(it) } != true
+    isForwardAllowed(request, peer) && slice.unreachablePeers[peer]?.let { isRecent(it) } != true
 
-/** Whether [request] can be forwarded to [peer], even if the peer was lost recently. */
-internal fun StepBuilder.mayForward(request: PendingRequest, peer: NodeIdentity): Boolean =
+/** Whether [request] may be forwarded to [peer], whether or not the peer was found unreachable recently. */
+internal fun StepBuilder.isForwardAllowed(request: PendingRequest, peer: NodeIdentity): Boolean =
     request.hops < settings.request.maximumHops && peer != settings.self && peer !in request.avoidedPeers
 
-/** Records that [peer] cannot be reached. */
-internal fun StepBuilder.noteUnreachable(peer: NodeIdentity) {
-    val recent = slice.unreachable.filterValues { isRecent(it) }
-    slice = slice.copy(unreachable = (recent + (peer to now)).toPersistentMap())
+/** Records that [peer] was found unreachable now and forgets peers whose pause is over. */
+internal fun StepBuilder.markUnreachable(peer: NodeIdentity) {
+    val recent = slice.unreachablePeers.filterValues { isRecent(it) }
+    slice = slice.copy(unreachablePeers = (recent + (peer to now)).toPersistentMap())
 }
 
-/** Records that [peer] can be reached. */
-internal fun StepBuilder.noteReachable(peer: NodeIdentity) {
-    if (peer in slice.unreachable) slice = slice.copy(unreachable = slice.unreachable.remove(peer))
+/** Records that [peer] is reachable again. */
+internal fun StepBuilder.markReachable(peer: NodeIdentity) {
+    if (peer in slice.unreachablePeers) slice = slice.copy(unreachablePeers = slice.unreachablePeers.remove(peer))
 }
 
 private fun StepBuilder.isRecent(lostAt: MonotonicTime): Boolean = now < lostAt + UNREACHABLE_PEER_PAUSE
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/PendingRequest.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/PendingRequest.kt
@@ -8,42 +8,42 @@
 import dev.hibiscusreach.core.model.Position
 import dev.hibiscusreach.core.model.ServerName
 
-/** A request from its arrival to its answer. */
+/** A request that was admitted and not answered yet. */
 data class PendingRequest(
-    /** Number of this process for the request; negative for requests that peers forwarded. */
+    /** Number that this process assigned to the request; negative for requests that peers forwarded. */
     val arrival: ArrivalNumber,
     val origin: RequestOrigin,
     val request: CallerRequest,
-    /** Nodes that have forwarded the request to get it here. */
+    /** Number of times that the request was forwarded before it reached this process. */
     val hops: Int,
-    val work: Work,
+    val operation: Operation,
     val deadline: MonotonicTime,
     val phase: RequestPhase = RequestPhase.Arrived,
-    /** When the step timer of the phase is due; an earlier firing belongs to an earlier phase. */
+    /** Time at which the step timer is due; a timer that fires earlier belongs to an earlier phase. */
     val stepDue: MonotonicTime? = null,
-    /** Commands sent so far. */
+    /** Number of commands sent so far. */
     val attempts: Int = 0,
-    /** Whether an earlier attempt may have taken effect and was not resolved. */
+    /** Whether an earlier attempt may have taken effect and its outcome was not resolved. */
     val mayHaveRun: Boolean = false,
-    /** Whether the caller disconnected, so that the answer is not sent. */
+    /** Whether the caller has disconnected, so that no answer is sent. */
     val abandoned: Boolean = false,
-    /** Servers that failed this request. */
+    /** Servers that did not serve this request and are not chosen again for a read. */
     val avoidedServers: Set<ServerName> = emptySet(),
-    /** Peers that failed this request. */
+    /** Peers that did not answer or accept this request; it is not forwarded to them again. */
     val avoidedPeers: Set<NodeIdentity> = emptySet(),
-    /** Whether the wait for a fresh replica has ended. */
+    /** Whether the request no longer waits for a fresh replica. */
     val replicaWaitOver: Boolean = false,
-    /** The end of the wait for a usable primary, set when the wait begins. */
+    /** Time at which the wait for a usable primary ends; set when the wait begins. */
     val primaryWaitEnd: MonotonicTime? = null,
 ) {
     /** The database of the request. */
     val database: DatabaseName get() = request.database
 
-    /** The position that the session has seen. */
+    /** The position that the caller's session has seen. */
     val seenPosition: Position get() = request.session.positionOf(database)
 
-    /** Whether the request may have taken effect if nothing more is learned of it. */
-    val outcomeOpen: Boolean get() = mayHaveRun || work.leavesOutcomeOpen && wasSent
+    /** Whether the request may have taken effect, as far as this process knows. */
+    val isOutcomeUnknown: Boolean get() = mayHaveRun || operation.leavesOutcomeUnknown && wasSent
 
     private val wasSent: Boolean
         get() =
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/PendingRequests.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/PendingRequests.kt
@@ -4,14 +4,14 @@
 import dev.hibiscusreach.core.event.TimerKey
 import dev.hibiscusreach.core.model.MonotonicTime
 
-/** Stores [request] and updates the index. */
+/** Stores [request], updates the phase index and returns the request. */
 internal fun StepBuilder.store(request: PendingRequest): PendingRequest {
     val before = slice.pending[request.arrival]
-    val cleared = if (before == null) slice.index else slice.index.without(before)
+    val cleared = if (before == null) slice.phaseIndex else slice.phaseIndex.without(before)
     slice =
         slice.copy(
             pending = slice.pending.put(request.arrival, request),
-            index = cleared.with(request),
+            phaseIndex = cleared.with(request),
         )
     return request
 }
@@ -23,13 +23,13 @@
     return store(request.copy(phase = phase, stepDue = bounded))
 }
 
-/** Removes [request] with its timers. */
+/** Removes [request] and cancels its timers. */
 internal fun StepBuilder.remove(request: PendingRequest) {
     val before = slice.pending[request.arrival] ?: return
     slice =
         slice.copy(
             pending = slice.pending.remove(request.arrival),
-            index = slice.index.without(before),
+            phaseIndex = slice.phaseIndex.without(before),
         )
     emit(Effect.CancelTimer(TimerKey.RequestDeadline(request.arrival)))
     emit(Effect.CancelTimer(TimerKey.RequestStep(request.arrival)))
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/PhaseIndexing.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/PhaseIndexUpdates.kt
@@ -4,51 +4,51 @@
 import kotlinx.collections.immutable.PersistentSet
 import kotlinx.collections.immutable.persistentSetOf
 
-/** The index with the entries of [request]'s phase. */
+/** Returns the index with the entries of [request]'s phase added. */
 internal fun PhaseIndex.with(request: PendingRequest): PhaseIndex =
     when (val phase = request.phase) {
         is RequestPhase.Arrived -> this
 
         is RequestPhase.AwaitingReplica, is RequestPhase.AwaitingPrimary ->
-            copy(waiting = waiting.adding(request.database, request.arrival))
+            copy(waitingByDatabase = waitingByDatabase.adding(request.database, request.arrival))
 
         is RequestPhase.Connecting, is RequestPhase.Verifying ->
-            copy(attempts = attempts.put((phase as RequestPhase.Attempted).attempt, request.arrival))
+            copy(byAttempt = byAttempt.put((phase as RequestPhase.Attempted).attempt, request.arrival))
 
         is RequestPhase.Sent ->
             copy(
-                attempts = attempts.put(phase.attempt, request.arrival),
-                connections = connections.put(phase.connection, request.arrival),
+                byAttempt = byAttempt.put(phase.attempt, request.arrival),
+                byConnection = byConnection.put(phase.connection, request.arrival),
             )
 
         is RequestPhase.Forwarded ->
             copy(
-                forwards = forwards.put(phase.number, request.arrival),
-                peers = peers.adding(phase.peer, request.arrival),
+                byForward = byForward.put(phase.number, request.arrival),
+                byPeer = byPeer.adding(phase.peer, request.arrival),
             )
     }
 
-/** The index without the entries of [request]'s phase. */
+/** Returns the index with the entries of [request]'s phase removed. */
 internal fun PhaseIndex.without(request: PendingRequest): PhaseIndex =
     when (val phase = request.phase) {
         is RequestPhase.Arrived -> this
 
         is RequestPhase.AwaitingReplica, is RequestPhase.AwaitingPrimary ->
-            copy(waiting = waiting.removing(request.database, request.arrival))
+            copy(waitingByDatabase = waitingByDatabase.removing(request.database, request.arrival))
 
         is RequestPhase.Connecting, is RequestPhase.Verifying ->
-            copy(attempts = attempts.remove((phase as RequestPhase.Attempted).attempt))
+            copy(byAttempt = byAttempt.remove((phase as RequestPhase.Attempted).attempt))
 
         is RequestPhase.Sent ->
             copy(
-                attempts = attempts.remove(phase.attempt),
-                connections = connections.remove(phase.connection),
+                byAttempt = byAttempt.remove(phase.attempt),
+                byConnection = byConnection.remove(phase.connection),
             )
 
         is RequestPhase.Forwarded ->
             copy(
-                forwards = forwards.remove(phase.number),
-                peers = peers.removing(phase.peer, request.arrival),
+                byForward = byForward.remove(phase.number),
+                byPeer = byPeer.removing(phase.peer, request.arrival),
             )
     }
 
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/Replies.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/Replies.kt
@@ -9,13 +9,15 @@
 import dev.hibiscusreach.core.model.RequestBody
 import dev.hibiscusreach.core.model.RetryAdvice
 
-private const val PAUSE_MILLIS = 250L
+/** Pause before a retry that a refusal suggests to the caller. */
+private const val RETRY_AFTER_MILLIS = 250L
 
 /** Sends [answer] to the origin of [request] and removes the request. */
 internal fun StepBuilder.reply(request: PendingRequest, answer: CallerAnswer) {
     remove(request)
     when (val origin = request.origin) {
-        is RequestOrigin.Caller -> if (!request.abandoned) answerCaller(request, truthful(request, answer))
+        is RequestOrigin.Caller ->
+            if (!request.abandoned) answerCaller(request, withoutTransientRefusal(request, answer))
 
         is RequestOrigin.Peer ->
             emit(Effect.SendPeerMessage(origin.node, PeerMessage.ForwardedAnswer(origin.arrival, answer)))
@@ -23,10 +25,11 @@
     finishDrainIfIdle()
 }
 
-// A refused question about an outcome must not be read as "the request in question did not run".
-private fun truthful(request: PendingRequest, answer: CallerAnswer): CallerAnswer =
+// A transient refusal of an outcome query is reported as an unknown outcome, because the caller would take "not run" to
+// mean that the request in question did not run.
+private fun withoutTransientRefusal(request: PendingRequest, answer: CallerAnswer): CallerAnswer =
     if (request.request.body is RequestBody.ResolveOutcome && isTransient(answer)) {
-        refusal(ErrorKind.OUTCOME_UNKNOWN, "the outcome could not be found out")
+        refusal(ErrorKind.OUTCOME_UNKNOWN, "the outcome could not be determined")
     } else {
         answer
     }
@@ -45,23 +48,24 @@
 }
 
 /**
- * Refuses [request]. A kind that states "not run" becomes [ErrorKind.OUTCOME_UNKNOWN] if an attempt of the request may
- * have taken effect.
+ * Refuses [request] with [kind]. A kind that states "not run" is replaced by [ErrorKind.OUTCOME_UNKNOWN] if an attempt
+ * of the request may have taken effect.
  */
 internal fun StepBuilder.refuse(request: PendingRequest, kind: ErrorKind, message: String) {
-    val isOpen = request.outcomeOpen && kind.outcome == Outcome.NOT_RUN
-    val stated = if (isOpen) ErrorKind.OUTCOME_UNKNOWN else kind
-    val explanation = if (isOpen) "the request may have run: $message" else message
-    reply(request, refusal(stated, explanation))
+    val isUncertain = request.isOutcomeUnknown && kind.outcome == Outcome.NOT_RUN
+    val reportedKind = if (isUncertain) ErrorKind.OUTCOME_UNKNOWN else kind
+    val reportedMessage = if (isUncertain) "the request may have run: $message" else message
+    reply(request, refusal(reportedKind, reportedMessage))
 }
 
-/** Refuses [request] with a [kind] that is certain, whatever happened to earlier attempts. */
-internal fun StepBuilder.refuseAsSettled(request: PendingRequest, kind: ErrorKind, message: String) =
+/** Refuses [request] with a [kind] that is correct whether or not earlier attempts took effect. */
+internal fun StepBuilder.refuseDefinitively(request: PendingRequest, kind: ErrorKind, message: String) =
     reply(request, refusal(kind, message))
 
+/** Returns a refusal of [kind], with a suggested pause if the kind advises one. */
 internal fun refusal(kind: ErrorKind, message: String): CallerAnswer.Refused =
     CallerAnswer.Refused(
         kind = kind,
         message = message,
-        retryAfterMillis = if (kind.advice == RetryAdvice.AFTER_A_PAUSE) PAUSE_MILLIS else null,
+        retryAfterMillis = if (kind.advice == RetryAdvice.AFTER_A_PAUSE) RETRY_AFTER_MILLIS else null,
     )
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/RequestCheck.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/RequestCheck.kt
@@ -12,16 +12,16 @@
 import dev.hibiscusreach.core.model.Statement
 import dev.hibiscusreach.core.reducer.RequestSettings
 
-/** Checks a request against the configuration and the limits before anything is done for it. */
+/** Validates a request against the configuration and the limits before it is routed. */
 internal class RequestCheck(
     private val index: ConfigurationIndex,
     private val settings: RequestSettings,
     private val wallClockMillis: Long,
 ) {
-    /** The work that [request] asks for, or why it is refused. */
-    fun workOf(request: CallerRequest): Result<Work, CallerAnswer.Refused> {
+    /** Returns the operation that [request] asks for, or the refusal if the request is invalid. */
+    fun operationOf(request: CallerRequest): Result<Operation, CallerAnswer.Refused> {
         val refusal = refusalOf(request)
-        return if (refusal == null) Ok(workOf(request, index)) else Err(refusal)
+        return if (refusal == null) Ok(operationOf(request, index)) else Err(refusal)
     }
 
     private fun refusalOf(request: CallerRequest): CallerAnswer.Refused? {
@@ -72,7 +72,7 @@
                     "the request was created $age ms ago, the limit is ${settings.requestRetention.value} ms",
                 )
 
-            // A creation time in the future would let the request outlive its idempotency record.
+            // With a creation time in the future, the request would be accepted after its idempotency record is gone.
             age < -settings.clockTolerance.value -> malformed("the creation time is ${-age} ms in the future")
 
             else -> null
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/RequestWork.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/RequestOperations.kt
@@ -7,31 +7,31 @@
 import dev.hibiscusreach.core.model.Millis
 import dev.hibiscusreach.core.model.RequestBody
 
-/** The work that a checked [request] asks for. */
-internal fun workOf(request: CallerRequest, index: ConfigurationIndex): Work =
+/** Returns the operation that a valid [request] asks for. */
+internal fun operationOf(request: CallerRequest, index: ConfigurationIndex): Operation =
     when (val body = request.body) {
         is RequestBody.Statements ->
             when (body.access) {
-                Access.READ -> Work.Read(body.statements, maximumAge(request, body, index))
-                Access.WRITE -> Work.Write(body.statements, key(request, body))
+                Access.READ -> Operation.Read(body.statements, maximumAge(request, body, index))
+                Access.WRITE -> Operation.Write(body.statements, idempotencyKey(request, body))
             }
 
-        is RequestBody.BeginTransaction -> Work.Begin
+        is RequestBody.BeginTransaction -> Operation.Begin
 
-        is RequestBody.TransactionStatements -> Work.Run(body.transaction, body.statements)
+        is RequestBody.TransactionStatements -> Operation.Run(body.transaction, body.statements)
 
         is RequestBody.CommitTransaction ->
-            Work.Commit(
+            Operation.Commit(
                 transaction = body.transaction,
                 key = IdempotencyKey(request.identifier, Fingerprint.ofCommit(request.caller, body.transaction)),
             )
 
-        is RequestBody.RollbackTransaction -> Work.Rollback(body.transaction)
+        is RequestBody.RollbackTransaction -> Operation.Rollback(body.transaction)
 
-        is RequestBody.ResolveOutcome -> Work.Resolve(body.requestIdentifier)
+        is RequestBody.ResolveOutcome -> Operation.Resolve(body.requestIdentifier)
     }
 
-private fun key(request: CallerRequest, body: RequestBody.Statements): IdempotencyKey? =
+private fun idempotencyKey(request: CallerRequest, body: RequestBody.Statements): IdempotencyKey? =
     if (body.repeatable) {
         null
     } else {
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/RequestOrigin.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/RequestOrigin.kt
@@ -3,11 +3,11 @@
 import dev.hibiscusreach.core.event.ArrivalNumber
 import dev.hibiscusreach.core.model.NodeIdentity
 
-/** Where a request came from and where its answer goes. */
+/** The sender of a request, which gets its answer. */
 sealed interface RequestOrigin {
     /** A caller sent the request to this process. */
     data object Caller : RequestOrigin
 
-    /** [node] forwarded the request and knows it as [arrival]. */
+    /** [node] forwarded the request under the number [arrival]. */
     data class Peer(val node: NodeIdentity, val arrival: ArrivalNumber) : RequestOrigin
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/RequestPhase.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/RequestPhase.kt
@@ -11,33 +11,33 @@
 
 /** What a request waits for. */
 sealed interface RequestPhase {
-    /** The request is not routed yet, or has to be routed again. */
+    /** The request is not routed yet or has to be routed again. */
     data object Arrived : RequestPhase
 
-    /** No replica is known to be fresh enough; the request goes to the primary when the wait ends. */
+    /** No replica is known to be fresh enough. The request is routed to the primary when the wait ends. */
     data object AwaitingReplica : RequestPhase
 
-    /** The primary is unknown or [rejected] the request, which is routed again until [until]. */
+    /** The primary is unknown or is [rejected], which did not serve the request. Retries end at [until]. */
     data class AwaitingPrimary(
         val until: MonotonicTime,
         val rejected: PrimaryView?,
-        /** Whether the same primary is worth another try after a pause. */
-        val retriesSame: Boolean,
+        /** Whether the request is sent to the same primary again after a pause. */
+        val retriesSamePrimary: Boolean,
     ) : RequestPhase
 
-    /** A phase that belongs to one attempt at one server. */
+    /** A phase of one attempt on one server. */
     sealed interface Attempted : RequestPhase {
-        /** The attempt that answers are matched to. */
+        /** Number that answers are matched by. */
         val attempt: AttemptNumber
 
         /** The server of the attempt. */
         val server: ServerName
     }
 
-    /** A connection was asked for. Nothing was sent. */
+    /** A connection was requested. No command was sent. */
     data class Connecting(override val attempt: AttemptNumber, override val server: ServerName) : Attempted
 
-    /** A command was sent and not answered yet. */
+    /** A command was sent and is not answered yet. */
     data class Sent(
         override val attempt: AttemptNumber,
         override val server: ServerName,
@@ -46,7 +46,7 @@
         val sentAt: MonotonicTime,
     ) : Attempted
 
-    /** The server answered; the answer is delivered after the outstanding checks. */
+    /** The server answered; the answer is delivered once the outstanding checks succeed. */
     data class Verifying(
         override val attempt: AttemptNumber,
         override val server: ServerName,
@@ -60,5 +60,5 @@
     data class Forwarded(val number: ArrivalNumber, val peer: NodeIdentity) : RequestPhase
 }
 
-/** The primary of a term, as it was known when a request was sent to it. */
+/** The primary of a term, as this process knew it at one time. */
 data class PrimaryView(val term: Term, val server: ServerName)
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/RequestViews.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/RequestViews.kt
@@ -13,44 +13,54 @@
 import dev.hibiscusreach.core.reducer.DatabaseHomes
 import dev.hibiscusreach.core.reducer.ProxyState
 
-/** What requests read of the other slices. */
+/** Read access of the requests part to the other slices of the state. */
 internal interface RequestViews {
-    /** The group of [database]. */
+    /** Returns the view of the group of [database]. */
     fun group(state: ProxyState, database: DatabaseName): GroupView
 
-    /** The other proxies. */
+    /** Returns the view of the fleet of proxies. */
     fun fleet(state: ProxyState): FleetView
 
-    /** As [dev.hibiscusreach.core.pool.PoolsState.freeConnections]. */
+    /** See [dev.hibiscusreach.core.pool.PoolsState.freeConnections]. */
     fun freeConnections(state: ProxyState, server: ServerName): Int
 }
 
-/** What requests read of one database group. */
+/** Read access to one database group. */
 internal interface GroupView {
     val term: Term
+
+    /** The primary of [term], or null while it is unknown or being replaced. */
     val primary: ServerName?
+
+    /** Latest time such that a majority answered in [term] to messages sent at or after it; null if there is none. */
     val leadershipVerifiedAt: MonotonicTime?
 
     /** Whether a majority is known to hold [position] and no promotion can lose it. */
     fun isDurable(position: Position): Boolean
 
+    /** Returns all servers of the group; empty if this process is not a home of it. */
     fun servers(now: MonotonicTime): List<ServerView>
 
+    /** Returns an upper bound of the age of data at [position], or null if it is unknown. */
     fun ageOf(position: Position, now: MonotonicTime): Millis?
 }
 
-/** What requests read of the fleet. */
+/** Read access to the fleet of proxies. */
 internal interface FleetView {
+    /** Whether this process is the home of [group] in its own failure domain. */
     fun isHome(group: DatabaseGroup): Boolean
 
+    /** Returns the home of [group] in [domain], or null if there is none. */
     fun home(group: DatabaseGroup, domain: FailureDomainName): NodeIdentity?
 
+    /** Whether [node] is this process or a peer that is not known to be gone. */
     fun isLive(node: NodeIdentity): Boolean
 
+    /** Returns the failure domain of [node], or null if the node is unknown. */
     fun domainOf(node: NodeIdentity): FailureDomainName?
 }
 
-/** The views that the slices of the state give. */
+/** Views that read the slices of a [ProxyState]. */
 internal object SliceViews : RequestViews {
     override fun group(state: ProxyState, database: DatabaseName): GroupView = SliceGroupView(state, database)
 
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/RequestsPart.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/RequestsPart.kt
@@ -11,57 +11,57 @@
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
 
-/** Carries requests from arrival to answer. */
+/** Handles requests from their arrival to their answer, interactive transactions and the graceful shutdown. */
 internal class RequestsPart(private val views: RequestViews = SliceViews) : Part {
     override fun handle(state: ProxyState, event: Event, context: StepContext): Step {
         val builder = StepBuilder(state, context, views)
         when (event) {
-            is Event.RequestArrived -> builder.arrive(event)
-            is Event.CallerDisconnected -> builder.disconnect(event.arrival)
-            is Event.SessionAnswered -> builder.answered(event)
-            is Event.PeerMessageReceived -> builder.received(event)
-            is Event.PeerUnreachable -> builder.peerLost(event.peer)
-            is Event.TimerFired -> builder.timerFired(event.key)
-            is Event.DrainRequested -> builder.startDrain()
-            is Signal -> builder.signalled(event)
+            is Event.RequestArrived -> builder.onRequestArrived(event)
+            is Event.CallerDisconnected -> builder.onCallerDisconnected(event.arrival)
+            is Event.SessionAnswered -> builder.onSessionAnswered(event)
+            is Event.PeerMessageReceived -> builder.onPeerMessage(event)
+            is Event.PeerUnreachable -> builder.onPeerLost(event.peer)
+            is Event.TimerFired -> builder.onTimerFired(event.key)
+            is Event.DrainRequested -> builder.onDrainRequested()
+            is Signal -> builder.onSignal(event)
             else -> Unit
         }
         return builder.toStep()
     }
 }
 
-private fun StepBuilder.received(event: Event.PeerMessageReceived) {
-    noteReachable(event.from)
+private fun StepBuilder.onPeerMessage(event: Event.PeerMessageReceived) {
+    markReachable(event.from)
     when (val message = event.message) {
-        is PeerMessage.ForwardedRequest -> arrive(event.from, message)
-        is PeerMessage.ForwardedAnswer -> answeredByPeer(event.from, message)
+        is PeerMessage.ForwardedRequest -> onForwardedRequest(event.from, message)
+        is PeerMessage.ForwardedAnswer -> onForwardedAnswer(event.from, message)
         else -> Unit
     }
 }
 
-private fun StepBuilder.timerFired(key: TimerKey) {
+private fun StepBuilder.onTimerFired(key: TimerKey) {
     when (key) {
-        is TimerKey.RequestDeadline -> deadlineReached(key.arrival)
-        is TimerKey.RequestStep -> stepOver(key.arrival)
-        is TimerKey.TransactionTimeout -> transactionTimeout(key.transaction)
-        is TimerKey.DrainStep -> drainStep()
+        is TimerKey.RequestDeadline -> onRequestDeadline(key.arrival)
+        is TimerKey.RequestStep -> onRequestStepTimeout(key.arrival)
+        is TimerKey.TransactionTimeout -> onTransactionTimeout(key.transaction)
+        is TimerKey.DrainStep -> onDrainStep()
         else -> Unit
     }
 }
 
-private fun StepBuilder.signalled(signal: Signal) {
+private fun StepBuilder.onSignal(signal: Signal) {
     when (signal) {
-        is Signal.ConnectionGranted -> granted(signal)
-        is Signal.ConnectionDenied -> denied(signal)
-        is Signal.ConnectionLost -> connectionLost(signal)
-        is Signal.DurabilityReached -> durabilityReached(signal.attempt)
-        is Signal.DurabilityNotReached -> notVerified(signal.attempt)
-        is Signal.LeadershipConfirmed -> leadershipConfirmed(signal.attempt)
-        is Signal.LeadershipNotConfirmed -> notVerified(signal.attempt)
+        is Signal.ConnectionGranted -> onConnectionGranted(signal)
+        is Signal.ConnectionDenied -> onConnectionDenied(signal)
+        is Signal.ConnectionLost -> onConnectionLost(signal)
+        is Signal.DurabilityReached -> onDurabilityReached(signal.attempt)
+        is Signal.DurabilityNotReached -> onVerificationFailed(signal.attempt)
+        is Signal.LeadershipConfirmed -> onLeadershipConfirmed(signal.attempt)
+        is Signal.LeadershipNotConfirmed -> onVerificationFailed(signal.attempt)
         is Signal.GroupObserved -> reconsiderWaiting(signal.database)
-        is Signal.PrimaryChanged -> primaryChanged(signal)
-        is Signal.PeerGone -> peerLost(signal.node)
-        // The other parts handle the signal before this one, so that their effects come before the exit.
+        is Signal.PrimaryChanged -> onPrimaryChanged(signal)
+        is Signal.PeerGone -> onPeerLost(signal.node)
+        // The other parts handle the signal before this part, so that their effects precede the exit.
         is Signal.DrainAdvanced -> if (signal.phase == DrainPhase.FINISHED) emit(Effect.Exit)
         else -> Unit
     }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/RequestsState.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/RequestsState.kt
@@ -11,31 +11,31 @@
 import kotlinx.collections.immutable.PersistentSet
 import kotlinx.collections.immutable.persistentMapOf
 
-/** The requests in flight, open transactions, retry budgets and the graceful shutdown. */
+/** State of the requests in flight, open transactions, retry budgets and the graceful shutdown. */
 data class RequestsState(
     val drainPhase: DrainPhase = DrainPhase.SERVING,
-    /** Every request that is not answered yet. */
+    /** Every request that is not answered yet, by arrival number. */
     val pending: PersistentMap<ArrivalNumber, PendingRequest> = persistentMapOf(),
-    /** Look-ups into [pending] by what the phases wait for. */
-    val index: PhaseIndex = PhaseIndex(),
+    /** Index of [pending] by what the phases wait for. */
+    val phaseIndex: PhaseIndex = PhaseIndex(),
     /** Open interactive transactions by identifier. */
     val transactions: PersistentMap<String, OpenTransaction> = persistentMapOf(),
-    /** The transactions' pinned connections. */
-    val pinned: PersistentMap<ConnectionNumber, String> = persistentMapOf(),
-    /** When peers were last found to be unreachable. */
-    val unreachable: PersistentMap<NodeIdentity, MonotonicTime> = persistentMapOf(),
-    /** The end of open transactions in a shutdown, once it is known. */
-    val transactionsEndAt: MonotonicTime? = null,
-    val budgets: PersistentMap<DatabaseName, RetryBudget> = persistentMapOf(),
-    /** The last number given to an attempt, a forwarded request or a transaction. */
+    /** Identifiers of the open transactions by the connection that each one is pinned to. */
+    val pinnedConnections: PersistentMap<ConnectionNumber, String> = persistentMapOf(),
+    /** Time at which each peer was last found to be unreachable. */
+    val unreachablePeers: PersistentMap<NodeIdentity, MonotonicTime> = persistentMapOf(),
+    /** Time at which a graceful shutdown ends the open transactions; null before [DrainPhase.FINISHING]. */
+    val drainDeadline: MonotonicTime? = null,
+    val retryBudgets: PersistentMap<DatabaseName, RetryBudget> = persistentMapOf(),
+    /** The last number assigned to an attempt, a forwarded request or a transaction. */
     val lastNumber: Long = 0,
 )
 
-/** Look-ups of pending requests by what their phases wait for, so that no event needs a search. */
+/** Index of the pending requests by what their phases wait for, so that no event scans all requests. */
 data class PhaseIndex(
-    val attempts: PersistentMap<AttemptNumber, ArrivalNumber> = persistentMapOf(),
-    val connections: PersistentMap<ConnectionNumber, ArrivalNumber> = persistentMapOf(),
-    val forwards: PersistentMap<ArrivalNumber, ArrivalNumber> = persistentMapOf(),
-    val peers: PersistentMap<NodeIdentity, PersistentSet<ArrivalNumber>> = persistentMapOf(),
-    val waiting: PersistentMap<DatabaseName, PersistentSet<ArrivalNumber>> = persistentMapOf(),
+    val byAttempt: PersistentMap<AttemptNumber, ArrivalNumber> = persistentMapOf(),
+    val byConnection: PersistentMap<ConnectionNumber, ArrivalNumber> = persistentMapOf(),
+    val byForward: PersistentMap<ArrivalNumber, ArrivalNumber> = persistentMapOf(),
+    val byPeer: PersistentMap<NodeIdentity, PersistentSet<ArrivalNumber>> = persistentMapOf(),
+    val waitingByDatabase: PersistentMap<DatabaseName, PersistentSet<ArrivalNumber>> = persistentMapOf(),
 )
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/Retries.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/Retries.kt
@@ -3,18 +3,18 @@
 import dev.hibiscusreach.core.event.CounterName
 import dev.hibiscusreach.core.model.ErrorKind
 
-/** Tries [request] again with [next], or refuses it with [kind] if its attempts or the retry budget are used up. */
-internal fun StepBuilder.tryAgain(
+/** Retries [request] with [next], or refuses it with [kind] if its attempts or the retry budget are used up. */
+internal fun StepBuilder.retry(
     request: PendingRequest,
     reason: String,
     kind: ErrorKind,
     message: String,
     next: (PendingRequest) -> Unit = ::route,
 ) {
-    val budget = (slice.budgets[request.database] ?: RetryBudget.full(settings.request)).spent()
-    // A resolution does not repeat the request, and the deadline bounds it.
+    val budget = (slice.retryBudgets[request.database] ?: RetryBudget.full(settings.request)).spent()
+    // Resolving an outcome does not run the request again and is bounded by the deadline, so it costs no retry.
     when {
-        request.work is Work.Resolve -> next(store(request))
+        request.operation is Operation.Resolve -> next(store(request))
 
         request.attempts >= settings.request.maximumAttempts ->
             refuse(request, kind, "$message; the attempts are used up")
@@ -22,35 +22,35 @@
         budget == null -> refuse(request, kind, "$message; the retry budget of the database is used up")
 
         else -> {
-            slice = slice.copy(budgets = slice.budgets.put(request.database, budget))
+            slice = slice.copy(retryBudgets = slice.retryBudgets.put(request.database, budget))
             count(CounterName.RETRIES, reason)
             next(store(request))
         }
     }
 }
 
-/** Retries or resolves [request] after the answer to an attempt was lost. The attempt may have taken effect. */
-internal fun StepBuilder.attemptLost(request: PendingRequest, work: Work, reason: String) {
+/** Retries [request] or resolves its outcome after an answer was lost. The attempt may have taken effect. */
+internal fun StepBuilder.handleLostAnswer(request: PendingRequest, operation: Operation, reason: String) {
     val message = "the answer was lost"
-    when (work) {
-        is Work.Read, is Work.Begin ->
-            tryAgain(request.copy(replicaWaitOver = true), reason, ErrorKind.SERVER_UNREACHABLE, message)
+    when (operation) {
+        is Operation.Read, is Operation.Begin ->
+            retry(request.copy(replicaWaitOver = true), reason, ErrorKind.SERVER_UNREACHABLE, message)
 
-        is Work.Write ->
-            if (work.key == null) {
-                tryAgain(request.copy(mayHaveRun = true), reason, ErrorKind.OUTCOME_UNKNOWN, message)
+        is Operation.Write ->
+            if (operation.key == null) {
+                retry(request.copy(mayHaveRun = true), reason, ErrorKind.OUTCOME_UNKNOWN, message)
             } else {
-                resolve(request, Work.Resolve(work.key.identifier, recorded = work))
+                resolveOutcome(request, Operation.Resolve(operation.key.identifier, recorded = operation))
             }
 
-        is Work.Commit -> resolve(request, Work.Resolve(work.key.identifier))
+        is Operation.Commit -> resolveOutcome(request, Operation.Resolve(operation.key.identifier))
 
-        is Work.Resolve -> awaitPrimary(request, rejected = primaryView(request.database))
+        is Operation.Resolve -> awaitPrimary(request, rejected = primaryView(request.database))
 
-        is Work.Run, is Work.Rollback -> refuseAsSettled(request, ErrorKind.TRANSACTION_ENDED, message)
+        is Operation.Run, is Operation.Rollback -> refuseDefinitively(request, ErrorKind.TRANSACTION_ENDED, message)
     }
 }
 
-/** Starts the resolution of [request]'s outcome. */
-internal fun StepBuilder.resolve(request: PendingRequest, work: Work.Resolve) =
-    route(store(request.copy(work = work, mayHaveRun = true, primaryWaitEnd = null)))
+/** Finds out at the primary whether [request] took effect. */
+internal fun StepBuilder.resolveOutcome(request: PendingRequest, operation: Operation.Resolve) =
+    route(store(request.copy(operation = operation, mayHaveRun = true, primaryWaitEnd = null)))
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/Routing.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/Routing.kt
@@ -6,28 +6,28 @@
 import dev.hibiscusreach.core.model.NodeIdentity
 import dev.hibiscusreach.core.reducer.DatabaseHomes
 
-/** Forwards [request], asks for a connection to a server, or lets it wait for a usable server. */
+/** Forwards [request] to a peer, requests a connection to a server, or waits for a usable server. */
 internal fun StepBuilder.route(request: PendingRequest) {
-    val group = index.group(request.database)
-    val work = request.work
+    val group = configurationIndex.group(request.database)
+    val operation = request.operation
     when {
         group == null -> refuse(request, ErrorKind.UNKNOWN_DATABASE, "the database was removed from the inventory")
-        work is Work.InTransaction -> routeToOwner(request, work)
+        operation is Operation.InTransaction -> routeToOwner(request, operation)
         else -> routeByHome(request, group)
     }
 }
 
 private fun StepBuilder.routeByHome(request: PendingRequest, group: DatabaseGroup) {
     val home = if (fleet.isHome(group)) null else nearestOtherHome(request, group)
-    val work = request.work
+    val operation = request.operation
     when {
         home != null -> forward(request, home)
-        work is Work.Read -> routeRead(request, work, group)
+        operation is Operation.Read -> routeRead(request, operation, group)
         else -> routeToPrimary(request, group)
     }
 }
 
-/** The nearest home of [group] that can be reached, or null if this process has to serve the request itself. */
+/** The nearest home of [group] that the request can be forwarded to; null if this process has to serve it. */
 private fun StepBuilder.nearestOtherHome(request: PendingRequest, group: DatabaseGroup): NodeIdentity? =
     DatabaseHomes
         .domains(group)
@@ -35,8 +35,8 @@
         .mapNotNull { fleet.home(group, it) }
         .firstOrNull { canForward(request, it) }
 
-private fun StepBuilder.routeRead(request: PendingRequest, read: Work.Read, group: DatabaseGroup) {
-    val choice = chooseForRead(request, read, group)
+private fun StepBuilder.routeRead(request: PendingRequest, read: Operation.Read, group: DatabaseGroup) {
+    val choice = chooseReadServer(request, read, group)
     when {
         choice is ReadChoice.Chosen -> routeToServer(request, choice.candidate.server, group)
         choice is ReadChoice.PrimaryOnly || request.replicaWaitOver -> routeToPrimary(request, group)
@@ -58,5 +58,5 @@
         fleet
             .home(group, server.failureDomain)
             ?.takeIf { server.failureDomain != settings.failureDomain && canForward(request, it) }
-    if (home == null) connect(request, server.name) else forward(request, home)
+    if (home == null) requestConnection(request, server.name) else forward(request, home)
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/Sending.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/Sending.kt
@@ -10,26 +10,29 @@
 import dev.hibiscusreach.core.model.ServerName
 import dev.hibiscusreach.core.model.Term
 
-/** Of the remaining time, a command may take all but one part in this many, which is left to resolve its outcome. */
-private const val RESOLUTION_DIVISOR = 4
+/** One part in this many of the remaining time is reserved for resolving the outcome of a command. */
+private const val RESOLUTION_RESERVE_DIVISOR = 4
 
-/** Sends the command of [request] on the connection that was granted to it. */
+/**
+ * Sends the command of [request] on the connection that was granted to it. If the server of [phase] is no longer the
+ * primary that the command needs, returns the connection and routes the request again.
+ */
 internal fun StepBuilder.useConnection(
     request: PendingRequest,
     phase: RequestPhase.Connecting,
     connection: ConnectionNumber,
 ) {
     val group = group(request.database)
-    if (request.work !is Work.Read && group.primary != phase.server) {
+    if (request.operation !is Operation.Read && group.primary != phase.server) {
         returnConnection(connection, ConnectionCondition.CLEAN)
         route(request)
     } else {
-        send(request, phase.attempt, phase.server, connection, commandOf(request, group.term))
+        sendCommand(request, phase.attempt, phase.server, connection, commandOf(request, group.term))
     }
 }
 
-/** Sends [command] on [connection]. */
-internal fun StepBuilder.send(
+/** Sends [command] on [connection] and waits for the answer. */
+internal fun StepBuilder.sendCommand(
     request: PendingRequest,
     attempt: AttemptNumber,
     server: ServerName,
@@ -40,33 +43,34 @@
     enter(
         request.copy(attempts = request.attempts + 1),
         RequestPhase.Sent(attempt, server, connection, command.term, now),
-        commandWaitEnd(request),
+        commandTimeoutAt(request),
     )
 }
 
-private fun StepBuilder.commandWaitEnd(request: PendingRequest): MonotonicTime {
+private fun StepBuilder.commandTimeoutAt(request: PendingRequest): MonotonicTime {
     val remaining = request.deadline - now
-    return now + minOf(settings.request.commandTimeout, Millis(remaining.value - remaining.value / RESOLUTION_DIVISOR))
+    return now +
+        minOf(settings.request.commandTimeout, Millis(remaining.value - remaining.value / RESOLUTION_RESERVE_DIVISOR))
 }
 
 private fun commandOf(request: PendingRequest, term: Term): SessionCommand =
-    when (val work = request.work) {
-        is Work.Read -> SessionCommand.Execute(term, work.statements, write = false, request.seenPosition)
+    when (val operation = request.operation) {
+        is Operation.Read -> SessionCommand.Execute(term, operation.statements, write = false, request.seenPosition)
 
-        is Work.Write ->
-            SessionCommand.Execute(term, work.statements, write = true, request.seenPosition, work.key)
+        is Operation.Write ->
+            SessionCommand.Execute(term, operation.statements, write = true, request.seenPosition, operation.key)
 
-        is Work.Begin -> SessionCommand.Begin(term, request.seenPosition)
+        is Operation.Begin -> SessionCommand.Begin(term, request.seenPosition)
 
-        is Work.Resolve -> SessionCommand.Resolve(term, work.identifier)
+        is Operation.Resolve -> SessionCommand.Resolve(term, operation.identifier)
 
-        is Work.Run -> SessionCommand.Run(term, work.statements)
+        is Operation.Run -> SessionCommand.Run(term, operation.statements)
 
-        is Work.Commit -> SessionCommand.Commit(term, work.key)
+        is Operation.Commit -> SessionCommand.Commit(term, operation.key)
 
-        is Work.Rollback -> SessionCommand.Rollback(term)
+        is Operation.Rollback -> SessionCommand.Rollback(term)
     }
 
-/** The command of a request in an open transaction, in the term in which the transaction began. */
+/** Returns the command of a request in an open transaction, with the term in which the transaction began. */
 internal fun commandInTransaction(request: PendingRequest, transaction: OpenTransaction): SessionCommand =
     commandOf(request, transaction.term)
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/ServerChoice.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/ServerChoice.kt
@@ -6,34 +6,37 @@
 import dev.hibiscusreach.core.model.FailureDomainName
 import dev.hibiscusreach.core.model.ServerName
 
-/** A server that can take a read. */
+/** A server that a read can be sent to. */
 internal data class Candidate(val server: BackendServer, val view: ServerView, val primary: Boolean) {
-    /** Name of the server. */
     val name: ServerName get() = server.name
 }
 
-/** Which server a read goes to. */
+/** The choice of a server for a read. */
 internal sealed interface ReadChoice {
-    /** [candidate] is fresh enough. */
+    /** The read goes to [candidate], which is fresh enough. */
     data class Chosen(val candidate: Candidate) : ReadChoice
 
-    /** Replicas take reads, but none is known to be fresh enough. */
+    /** Replicas are available, but none is known to be fresh enough. */
     data object NoFreshReplica : ReadChoice
 
-    /** No replica takes reads, or the read asks for the newest data. */
+    /** No replica is available, or the read asks for the newest data. */
     data object PrimaryOnly : ReadChoice
 }
 
 private const val PERCENT = 100
-private const val OWN_DOMAIN = 0
-private const val OWN_REGION = 1
+private const val SAME_DOMAIN = 0
+private const val SAME_REGION = 1
 private const val OTHER_REGION = 2
 
 /**
- * Chooses among the fresh replicas and the primary. The link between regions is slow and billed, so that a primary of
- * the own region comes before a replica of another one; within a region replicas come first.
+ * Chooses among the fresh replicas and the primary. The link between regions is slow and billed, so that a primary in
+ * this region is preferred to a replica in another one. Within a region, replicas are preferred.
  */
-internal fun StepBuilder.chooseForRead(request: PendingRequest, read: Work.Read, group: DatabaseGroup): ReadChoice {
+internal fun StepBuilder.chooseReadServer(
+    request: PendingRequest,
+    read: Operation.Read,
+    group: DatabaseGroup,
+): ReadChoice {
     val candidates = candidates(request, group)
     val replicas = candidates.filter { !it.primary && isFresh(request, read, it) }
     val warm = replicas.filter { context.random.mod(PERCENT) < it.view.warmUpPercent }.ifEmpty { replicas }
@@ -53,7 +56,7 @@
         .mapNotNull { server -> group.server(server.name)?.let { Candidate(it, server, server.name == primary) } }
 }
 
-private fun StepBuilder.isFresh(request: PendingRequest, read: Work.Read, candidate: Candidate): Boolean {
+private fun StepBuilder.isFresh(request: PendingRequest, read: Operation.Read, candidate: Candidate): Boolean {
     val applied = candidate.view.applied
     val age = group(request.database).ageOf(applied, now)
     return read.maximumAge.value > 0 && applied >= request.seenPosition && age != null && age <= read.maximumAge
@@ -68,10 +71,10 @@
         .thenBy { it.view.latency }
         .thenBy { it.name }
 
-/** How far [domain] is: the own domain, the own region or another region. */
+/** Distance to [domain]: 0 for this failure domain, 1 for this region, 2 for another region. */
 internal fun StepBuilder.distance(domain: FailureDomainName): Int =
     when {
-        domain == settings.failureDomain -> OWN_DOMAIN
-        index.region(domain) == index.region(settings.failureDomain) -> OWN_REGION
+        domain == settings.failureDomain -> SAME_DOMAIN
+        configurationIndex.region(domain) == configurationIndex.region(settings.failureDomain) -> SAME_REGION
         else -> OTHER_REGION
     }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/StepBuilder.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/StepBuilder.kt
@@ -13,7 +13,7 @@
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
 
-/** The handling of one event: collects the slice's changes, effects and signals and becomes a [Step]. */
+/** Collects the changes of the requests slice, the effects and the signals while one event is handled. */
 internal class StepBuilder(
     private val initial: ProxyState,
     val context: StepContext,
@@ -22,12 +22,12 @@
     private val effects = mutableListOf<Effect>()
     private val signals = mutableListOf<Signal>()
 
-    /** The slice as it stands. */
+    /** The requests slice with the changes made so far. */
     var slice: RequestsState = initial.requests
 
     val now: MonotonicTime get() = context.now
     val settings: ProxySettings get() = initial.settings
-    val index: ConfigurationIndex get() = initial.configuration.index
+    val configurationIndex: ConfigurationIndex get() = initial.configuration.index
     val hasConfiguration: Boolean get() = initial.configuration.isLoaded
     val fleet: FleetView get() = views.fleet(initial)
 
@@ -45,14 +45,16 @@
 
     fun count(counter: CounterName, label: String) = emit(Effect.Count(counter, label = label))
 
+    /** Starts the timer [key], or restarts it if it is running, to fire at [due]. */
     fun startTimer(key: TimerKey, due: MonotonicTime) =
         emit(Effect.StartTimer(key, maxOf(due - now, Millis(0))))
 
-    /** A number that this process has not given out yet. */
+    /** Returns a number that this process has not assigned before. */
     fun nextNumber(): Long {
         slice = slice.copy(lastNumber = slice.lastNumber + 1)
         return slice.lastNumber
     }
 
+    /** Returns the changed state with the collected effects and signals. */
     fun toStep(): Step = Step(initial.copy(requests = slice), effects.toList(), signals.toList())
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/TransactionAnswers.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/TransactionAnswers.kt
@@ -6,24 +6,24 @@
 import dev.hibiscusreach.core.model.ErrorKind
 
 /** Handles the answer to a command of an open transaction. */
-internal fun StepBuilder.answeredInTransaction(
+internal fun StepBuilder.handleTransactionAnswer(
     request: PendingRequest,
-    work: Work.InTransaction,
+    operation: Operation.InTransaction,
     phase: RequestPhase.Sent,
     answer: SessionAnswer,
 ) {
-    val free = store(request.copy(phase = RequestPhase.Arrived))
+    val unrouted = store(request.copy(phase = RequestPhase.Arrived))
     val verifying = RequestPhase.Verifying(phase.attempt, phase.server, answer, phase.sentAt)
-    if (work is Work.Run && answer is SessionAnswer.Done) {
-        verify(free, verifying)
+    if (operation is Operation.Run && answer is SessionAnswer.Done) {
+        verify(unrouted, verifying)
     } else {
-        endTransaction(work.transaction, conditionAfter(answer))
-        conclude(free, work, verifying)
+        endTransaction(operation.transaction, connectionConditionAfter(answer))
+        replyAfterTransactionEnd(unrouted, operation, verifying)
     }
 }
 
-/** The state in which [answer] leaves the connection of a transaction. */
-private fun conditionAfter(answer: SessionAnswer): ConnectionCondition =
+/** The condition of a transaction's connection after [answer]. */
+private fun connectionConditionAfter(answer: SessionAnswer): ConnectionCondition =
     when (answer) {
         is SessionAnswer.Done, is SessionAnswer.Rejected, is SessionAnswer.Conflict, is SessionAnswer.NoTransaction ->
             ConnectionCondition.CLEAN
@@ -33,25 +33,30 @@
         -> ConnectionCondition.DOUBTFUL
     }
 
-// Every refusal here is certain: the server answered that it did not commit, and a commit is sent only once.
-private fun StepBuilder.conclude(request: PendingRequest, work: Work.InTransaction, phase: RequestPhase.Verifying) {
+// Every refusal here is definitive: the server answered that it did not commit, and a commit is sent only once.
+private fun StepBuilder.replyAfterTransactionEnd(
+    request: PendingRequest,
+    operation: Operation.InTransaction,
+    phase: RequestPhase.Verifying,
+) {
     when (val answer = phase.answer) {
-        is SessionAnswer.Done -> if (work is Work.Commit) verify(request, phase) else rolledBack(request)
+        is SessionAnswer.Done -> if (operation is Operation.Commit) verify(request, phase) else replyRolledBack(request)
 
         is SessionAnswer.Cancelled -> verify(request, phase)
 
-        is SessionAnswer.Rejected -> refuseAsSettled(request, ErrorKind.STATEMENT_REJECTED, answer.message)
+        is SessionAnswer.Rejected -> refuseDefinitively(request, ErrorKind.STATEMENT_REJECTED, answer.message)
 
         is SessionAnswer.Conflict ->
-            refuseAsSettled(request, ErrorKind.CONFLICT, "the transaction conflicted with another one and has ended")
+            refuseDefinitively(request, ErrorKind.CONFLICT, "the transaction conflicted with another one and has ended")
 
-        is SessionAnswer.IdentifierReused -> refuseAsSettled(request, ErrorKind.REQUEST_IDENTIFIER_REUSED, REUSED)
+        is SessionAnswer.IdentifierReused ->
+            refuseDefinitively(request, ErrorKind.REQUEST_IDENTIFIER_REUSED, IDENTIFIER_REUSED)
 
         is SessionAnswer.Behind, is SessionAnswer.NoTransaction, is SessionAnswer.Unavailable,
         is SessionAnswer.WrongTerm,
-        -> refuseAsSettled(request, ErrorKind.TRANSACTION_ENDED, "the server ended the transaction")
+        -> refuseDefinitively(request, ErrorKind.TRANSACTION_ENDED, "the server ended the transaction")
     }
 }
 
-private fun StepBuilder.rolledBack(request: PendingRequest) =
+private fun StepBuilder.replyRolledBack(request: PendingRequest) =
     reply(request, CallerAnswer.Completed(results = emptyList(), session = request.request.session))
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/TransactionIdentifier.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/TransactionIdentifier.kt
@@ -5,14 +5,14 @@
 import java.util.Base64
 
 /**
- * The identifier of an interactive transaction names the node that holds it, so that any proxy can forward to that
- * node. As text it may stand in the path of a URL.
+ * Identifier of an interactive transaction. It contains the node that holds the transaction, so that any proxy can
+ * forward requests to that node. Its text form is safe in the path of a URL.
  */
 internal data class TransactionIdentifier(
     val owner: NodeIdentity,
-    /** Unique for the owner and rising. */
+    /** Unique on [owner] and increasing. */
     val number: Long,
-    /** Keeps callers from guessing the identifiers of others. */
+    /** Random, so that a caller cannot guess the identifiers of other callers' transactions. */
     val random: Long,
 ) {
     override fun toString(): String {
@@ -26,7 +26,7 @@
         private const val FIELDS = 6
         private val encoder = Base64.getUrlEncoder().withoutPadding()
 
-        /** Reads the text of an identifier; null if it is none. */
+        /** Parses the text form of an identifier; returns null if [text] is malformed. */
         fun parse(text: String): TransactionIdentifier? =
             try {
                 parse(Base64.getUrlDecoder().decode(text).decodeToString().split(SEPARATOR))
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/TransactionStart.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/TransactionStart.kt
@@ -5,30 +5,30 @@
 import dev.hibiscusreach.core.model.CallerAnswer
 import dev.hibiscusreach.core.model.ErrorKind
 
-/** Opens the transaction that the server began for [request]. */
-internal fun StepBuilder.transactionBegan(
+/** Registers the transaction that the server began for [request] and answers with its identifier. */
+internal fun StepBuilder.completeBegin(
     request: PendingRequest,
     phase: RequestPhase.Sent,
     answer: SessionAnswer.Done
 ) {
-    val free = store(request.copy(phase = RequestPhase.Arrived))
+    val unrouted = store(request.copy(phase = RequestPhase.Arrived))
     when {
         answer.status.term < group(request.database).term -> {
             returnConnection(phase.connection, ConnectionCondition.DOUBTFUL)
-            tryAgain(free, "term", ErrorKind.NO_PRIMARY, "the primary was replaced")
+            retry(unrouted, "term", ErrorKind.NO_PRIMARY, "the primary was replaced")
         }
 
-        // The caller never learns the identifier, so that it could not end the transaction.
+        // The caller never receives the identifier and so could not end the transaction.
         request.abandoned -> {
             returnConnection(phase.connection, ConnectionCondition.DOUBTFUL)
-            reply(free, refusal(ErrorKind.TRANSACTION_ENDED, "the caller is gone"))
+            reply(unrouted, refusal(ErrorKind.TRANSACTION_ENDED, "the caller is gone"))
         }
 
-        else -> open(free, phase)
+        else -> openTransaction(unrouted, phase)
     }
 }
 
-private fun StepBuilder.open(request: PendingRequest, phase: RequestPhase.Sent) {
+private fun StepBuilder.openTransaction(request: PendingRequest, phase: RequestPhase.Sent) {
     val identifier = TransactionIdentifier(settings.self, nextNumber(), context.random).toString()
     val transaction =
         OpenTransaction(
@@ -38,11 +38,11 @@
             connection = phase.connection,
             server = phase.server,
             term = phase.term,
-            endsAt = listOfNotNull(now + settings.request.transactionLifeLimit, slice.transactionsEndAt).min(),
+            expiresAt = listOfNotNull(now + settings.request.transactionLifeLimit, slice.drainDeadline).min(),
             timerDue = now,
         )
-    slice = slice.copy(pinned = slice.pinned.put(phase.connection, identifier))
-    restartIdleTime(transaction)
+    slice = slice.copy(pinnedConnections = slice.pinnedConnections.put(phase.connection, identifier))
+    restartIdleTimer(transaction)
     reply(
         request,
         CallerAnswer.Completed(
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/Transactions.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/Transactions.kt
@@ -5,61 +5,66 @@
 import dev.hibiscusreach.core.event.TimerKey
 import dev.hibiscusreach.core.model.ErrorKind
 
-/** Sends [request] to the node that holds its transaction. */
-internal fun StepBuilder.routeToOwner(request: PendingRequest, work: Work.InTransaction) {
-    val identifier = TransactionIdentifier.parse(work.transaction)
+/** Routes [request] to the node that holds its transaction. */
+internal fun StepBuilder.routeToOwner(request: PendingRequest, operation: Operation.InTransaction) {
+    val identifier = TransactionIdentifier.parse(operation.transaction)
     when {
         identifier == null -> refuse(request, ErrorKind.TRANSACTION_UNKNOWN, "the transaction identifier is not valid")
-        identifier.owner == settings.self -> useTransaction(request, work, identifier)
-        fleet.isLive(identifier.owner) && mayForward(request, identifier.owner) -> forward(request, identifier.owner)
-        else -> ownerLost(request, work)
+
+        identifier.owner == settings.self -> continueTransaction(request, operation, identifier)
+
+        fleet.isLive(identifier.owner) && isForwardAllowed(request, identifier.owner) ->
+            forward(request, identifier.owner)
+
+        else -> handleLostOwner(request, operation)
     }
 }
 
-/** Answers [request] when no proxy holds its transaction any more. */
-internal fun StepBuilder.ownerLost(request: PendingRequest, work: Work.InTransaction) =
-    when (work) {
-        // An earlier commit under the same identifier may have been sent; its record tells.
-        is Work.Commit -> resolve(request, Work.Resolve(work.key.identifier))
+/** Handles [request] when no reachable proxy holds its transaction. */
+internal fun StepBuilder.handleLostOwner(request: PendingRequest, operation: Operation.InTransaction) =
+    when (operation) {
+        // A commit with the same identifier may have been sent before; its idempotency record contains the outcome.
+        is Operation.Commit -> resolveOutcome(request, Operation.Resolve(operation.key.identifier))
 
-        is Work.Run, is Work.Rollback -> refuse(request, ErrorKind.TRANSACTION_ENDED, "the transaction has ended")
+        is Operation.Run, is Operation.Rollback ->
+            refuse(request, ErrorKind.TRANSACTION_ENDED, "the transaction has ended")
     }
 
-private fun StepBuilder.useTransaction(
+private fun StepBuilder.continueTransaction(
     request: PendingRequest,
-    work: Work.InTransaction,
+    operation: Operation.InTransaction,
     identifier: TransactionIdentifier,
 ) {
-    val transaction = slice.transactions[work.transaction]
-    val isOwn = transaction?.caller == request.request.caller && transaction.database == request.database
+    val transaction = slice.transactions[operation.transaction]
+    val belongsToCaller = transaction?.caller == request.request.caller && transaction.database == request.database
     when {
-        transaction == null && identifier.number <= slice.lastNumber -> ownerLost(request, work)
+        transaction == null && identifier.number <= slice.lastNumber -> handleLostOwner(request, operation)
 
-        transaction == null || !isOwn ->
+        transaction == null || !belongsToCaller ->
             refuse(request, ErrorKind.TRANSACTION_UNKNOWN, "the caller has no such transaction")
 
-        transaction.busy != null -> refuseWhileBusy(request, work)
+        transaction.activeRequest != null -> refuseWhileBusy(request, operation)
 
         group(request.database).term > transaction.term -> {
-            endTransaction(work.transaction, ConnectionCondition.DOUBTFUL)
+            endTransaction(operation.transaction, ConnectionCondition.DOUBTFUL)
             refuse(request, ErrorKind.TRANSACTION_ENDED, "the primary was replaced; nothing was committed")
         }
 
-        else -> use(request, transaction)
+        else -> sendInTransaction(request, transaction)
     }
 }
 
-private fun StepBuilder.refuseWhileBusy(request: PendingRequest, work: Work.InTransaction) =
-    if (work is Work.Commit) {
-        // The request in progress can be the same commit, sent a second time.
-        refuseAsSettled(request, ErrorKind.OUTCOME_UNKNOWN, "another request of the transaction is in progress")
+private fun StepBuilder.refuseWhileBusy(request: PendingRequest, operation: Operation.InTransaction) =
+    if (operation is Operation.Commit) {
+        // The request in progress may be the same commit, which the caller sent twice.
+        refuseDefinitively(request, ErrorKind.OUTCOME_UNKNOWN, "another request of the transaction is in progress")
     } else {
         refuse(request, ErrorKind.CONFLICT, "another request of the transaction is in progress")
     }
 
-private fun StepBuilder.use(request: PendingRequest, transaction: OpenTransaction) {
-    storeTransaction(transaction.copy(busy = request.arrival))
-    send(
+private fun StepBuilder.sendInTransaction(request: PendingRequest, transaction: OpenTransaction) {
+    storeTransaction(transaction.copy(activeRequest = request.arrival))
+    sendCommand(
         request,
         nextAttempt(),
         transaction.server,
@@ -68,18 +73,18 @@
     )
 }
 
-/** Releases the transaction for the next request. */
-internal fun StepBuilder.release(identifier: String) {
-    slice.transactions[identifier]?.let { restartIdleTime(it.copy(busy = null)) }
+/** Marks the transaction as idle, so that it accepts the next request. */
+internal fun StepBuilder.releaseTransaction(identifier: String) {
+    slice.transactions[identifier]?.let { restartIdleTimer(it.copy(activeRequest = null)) }
 }
 
-/** Stores [transaction] and starts its idle time. */
-internal fun StepBuilder.restartIdleTime(transaction: OpenTransaction) =
+/** Stores [transaction] and starts its idle timer. */
+internal fun StepBuilder.restartIdleTimer(transaction: OpenTransaction) =
     startTransactionTimer(
-        transaction.copy(timerDue = minOf(now + settings.request.transactionIdleLimit, transaction.endsAt)),
+        transaction.copy(timerDue = minOf(now + settings.request.transactionIdleLimit, transaction.expiresAt)),
     )
 
-/** Stores [transaction] and starts its timer. */
+/** Stores [transaction] and starts a timer for [OpenTransaction.timerDue]. */
 internal fun StepBuilder.startTransactionTimer(transaction: OpenTransaction) {
     storeTransaction(transaction)
     startTimer(TimerKey.TransactionTimeout(transaction.identifier), transaction.timerDue)
@@ -89,13 +94,13 @@
     slice = slice.copy(transactions = slice.transactions.put(transaction.identifier, transaction))
 }
 
-/** Removes a transaction. Its connection is returned in [condition], or not at all if the connection is lost. */
+/** Removes a transaction. Returns its connection in [condition], or not at all for null: the connection is lost. */
 internal fun StepBuilder.endTransaction(identifier: String, condition: ConnectionCondition?) {
     val transaction = slice.transactions[identifier] ?: return
     slice =
         slice.copy(
             transactions = slice.transactions.remove(identifier),
-            pinned = slice.pinned.remove(transaction.connection),
+            pinnedConnections = slice.pinnedConnections.remove(transaction.connection),
         )
     emit(Effect.CancelTimer(TimerKey.TransactionTimeout(identifier)))
     if (condition != null) returnConnection(transaction.connection, condition)
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/Verification.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/Verification.kt
@@ -8,50 +8,53 @@
 import dev.hibiscusreach.core.model.MonotonicTime
 import dev.hibiscusreach.core.model.Position
 
-/** What still has to be known before an answer may be delivered. */
-private enum class Outstanding { TERM_CHANGED, DURABILITY, LEADERSHIP, TOO_OLD, NOTHING }
+/** The check that an answer still has to pass before it is delivered, or why it cannot pass. */
+private enum class OutstandingCheck { TERM_CHANGED, DURABILITY, LEADERSHIP, TOO_OLD, NOTHING }
 
-/** Delivers the answer in [phase] once a majority holds its position and its age is proved. */
+/** Delivers the answer in [phase] once a majority holds its position and its age is verified. */
 internal fun StepBuilder.verify(request: PendingRequest, phase: RequestPhase.Verifying) {
     val due = minOf(request.deadline, now + settings.request.commandTimeout)
-    when (outstanding(request, phase)) {
-        Outstanding.TERM_CHANGED -> verificationFailed(store(request.copy(phase = RequestPhase.Arrived)), phase)
+    when (outstandingCheck(request, phase)) {
+        OutstandingCheck.TERM_CHANGED ->
+            handleUnverifiedAnswer(store(request.copy(phase = RequestPhase.Arrived)), phase)
 
-        Outstanding.DURABILITY -> {
+        OutstandingCheck.DURABILITY -> {
             enter(request, phase, due)
             signal(Signal.DurabilityWanted(phase.attempt, request.database, phase.answer.provingPosition(), due))
         }
 
-        Outstanding.LEADERSHIP -> {
+        OutstandingCheck.LEADERSHIP -> {
             enter(request, phase, due)
-            signal(Signal.LeadershipWanted(phase.attempt, request.database, leadershipFloor(request, phase), due))
+            signal(
+                Signal.LeadershipWanted(phase.attempt, request.database, leadershipRequiredSince(request, phase), due),
+            )
         }
 
-        Outstanding.TOO_OLD -> tooOld(store(request.copy(phase = RequestPhase.Arrived)), phase)
+        OutstandingCheck.TOO_OLD -> retryTooOldRead(store(request.copy(phase = RequestPhase.Arrived)), phase)
 
-        Outstanding.NOTHING -> deliver(store(request.copy(phase = RequestPhase.Arrived)), phase)
+        OutstandingCheck.NOTHING -> deliver(store(request.copy(phase = RequestPhase.Arrived)), phase)
     }
 }
 
-private fun StepBuilder.outstanding(request: PendingRequest, phase: RequestPhase.Verifying): Outstanding {
+private fun StepBuilder.outstandingCheck(request: PendingRequest, phase: RequestPhase.Verifying): OutstandingCheck {
     val group = group(request.database)
     return when {
-        // A server of an earlier term may hold entries that the current term does not have.
-        phase.answer.status.term < group.term -> Outstanding.TERM_CHANGED
-        !phase.durable && !group.isDurable(phase.answer.position()) -> Outstanding.DURABILITY
-        isRecentEnough(request, phase) -> Outstanding.NOTHING
-        phase.server == group.primary -> Outstanding.LEADERSHIP
-        else -> Outstanding.TOO_OLD
+        // A server of an earlier term may hold entries that are not part of the current term.
+        phase.answer.status.term < group.term -> OutstandingCheck.TERM_CHANGED
+        !phase.durable && !group.isDurable(phase.answer.position()) -> OutstandingCheck.DURABILITY
+        isRecentEnough(request, phase) -> OutstandingCheck.NOTHING
+        phase.server == group.primary -> OutstandingCheck.LEADERSHIP
+        else -> OutstandingCheck.TOO_OLD
     }
 }
 
 private fun StepBuilder.isRecentEnough(request: PendingRequest, phase: RequestPhase.Verifying): Boolean {
-    val work = request.work
+    val operation = request.operation
     return when {
-        work is Work.Read -> isLeadershipVerified(request, phase) || isWithinAge(request, work, phase)
+        operation is Operation.Read -> isLeadershipVerified(request, phase) || isWithinAge(request, operation, phase)
 
-        // A transaction that only read has no new entry whose durability would show that its server still led.
-        work is Work.Commit -> phase.durable || isLeadershipVerified(request, phase)
+        // A read-only transaction writes no entry whose durability would prove that its server was still the primary.
+        operation is Operation.Commit -> phase.durable || isLeadershipVerified(request, phase)
 
         phase.answer is SessionAnswer.Behind -> isLeadershipVerified(request, phase)
 
@@ -59,7 +62,11 @@
     }
 }
 
-private fun StepBuilder.isWithinAge(request: PendingRequest, read: Work.Read, phase: RequestPhase.Verifying): Boolean {
+private fun StepBuilder.isWithinAge(
+    request: PendingRequest,
+    read: Operation.Read,
+    phase: RequestPhase.Verifying,
+): Boolean {
     val age = group(request.database).ageOf(phase.answer.position(), now)
     return read.maximumAge.value > 0 && age != null && age <= read.maximumAge && phase.answer !is SessionAnswer.Behind
 }
@@ -67,19 +74,20 @@
 private fun StepBuilder.isLeadershipVerified(request: PendingRequest, phase: RequestPhase.Verifying): Boolean {
     val group = group(request.database)
     val verifiedAt = group.leadershipVerifiedAt
-    val known = verifiedAt != null && verifiedAt >= leadershipFloor(request, phase)
+    val known = verifiedAt != null && verifiedAt >= leadershipRequiredSince(request, phase)
     return phase.server == group.primary && (phase.leadershipConfirmed || known)
 }
 
-// Whatever was acknowledged before the floor is in what the primary answered. An accepted age that is shorter than the
-// command took cannot be met by any server; then the start of the command is the floor.
-private fun StepBuilder.leadershipFloor(request: PendingRequest, phase: RequestPhase.Verifying): MonotonicTime {
-    val work = request.work
-    val accepted = if (work is Work.Read && phase.answer is SessionAnswer.Done) work.maximumAge else Millis(0)
+// The primary's answer contains every write that was acknowledged before the returned time. No server can meet an
+// accepted age that is shorter than the duration of the command; then the returned time is the start of the command.
+private fun StepBuilder.leadershipRequiredSince(request: PendingRequest, phase: RequestPhase.Verifying): MonotonicTime {
+    val operation = request.operation
+    val accepted =
+        if (operation is Operation.Read && phase.answer is SessionAnswer.Done) operation.maximumAge else Millis(0)
     return minOf(phase.sentAt, now - accepted)
 }
 
-/** The position that the answer depends on. */
+/** The position that has to be durable before the answer is delivered; [Position.ORIGIN] if there is none. */
 internal fun SessionAnswer.position(): Position =
     when (this) {
         is SessionAnswer.Done -> position
@@ -92,15 +100,16 @@
         -> Position.ORIGIN
     }
 
-// The record of a repeated request may be an entry of an earlier term, and a proxy that met the primary only after its
-// first write does not know where the primary's own term began. A later entry of that term proves the earlier one.
+// The record of a repeated request may be an entry of an earlier term, and a proxy that first observed the primary
+// after its first write does not know where the primary's term began. Durability of a later entry of that term implies
+// durability of the record.
 private fun SessionAnswer.provingPosition(): Position {
     val position = position()
     val isOlder = position.term < status.term && status.applied.term == status.term
     return if (isOlder && status.role == ServerRole.PRIMARY) status.applied else position
 }
 
-private fun StepBuilder.tooOld(request: PendingRequest, phase: RequestPhase.Verifying) {
+private fun StepBuilder.retryTooOldRead(request: PendingRequest, phase: RequestPhase.Verifying) {
     val avoiding = request.copy(avoidedServers = request.avoidedServers + phase.server, replicaWaitOver = true)
-    tryAgain(avoiding, "age", ErrorKind.READ_TOO_OLD, "the data of server '${phase.server}' is too old")
+    retry(avoiding, "age", ErrorKind.READ_TOO_OLD, "the data of server '${phase.server}' is too old")
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/VerificationResults.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/VerificationResults.kt
@@ -8,25 +8,25 @@
 import dev.hibiscusreach.core.model.ErrorKind
 import dev.hibiscusreach.core.model.Millis
 
-/** Delivers a verified answer. */
+/** Delivers the verified answer in [phase] to the origin of [request]. */
 internal fun StepBuilder.deliver(request: PendingRequest, phase: RequestPhase.Verifying) {
     when (val answer = phase.answer) {
         is SessionAnswer.Done -> {
-            val recorded = (request.work as? Work.Resolve)?.recorded
-            if (recorded == null) complete(request, phase, answer) else route(store(request.copy(work = recorded)))
+            val recorded = (request.operation as? Operation.Resolve)?.recorded
+            if (recorded == null) complete(request, phase, answer) else route(store(request.copy(operation = recorded)))
         }
 
         is SessionAnswer.Cancelled ->
-            refuseAsSettled(request, ErrorKind.REQUEST_CANCELLED, "the request did not run and never will")
+            refuseDefinitively(request, ErrorKind.REQUEST_CANCELLED, "the request did not run and never will")
 
         else -> refuse(request, ErrorKind.FUTURE_TOKEN, "the session token is ahead of the database")
     }
 }
 
 private fun StepBuilder.complete(request: PendingRequest, phase: RequestPhase.Verifying, answer: SessionAnswer.Done) {
-    val work = request.work
-    if (work is Work.Read) countRead(answer)
-    if (work is Work.Run) release(work.transaction)
+    val operation = request.operation
+    if (operation is Operation.Read) countRead(answer)
+    if (operation is Operation.Run) releaseTransaction(operation.transaction)
     reply(
         request,
         CallerAnswer.Completed(
@@ -34,9 +34,9 @@
             session = request.request.session.including(request.database, answer.position),
             server = phase.server,
             position = answer.position,
-            transaction = (work as? Work.Run)?.transaction,
+            transaction = (operation as? Operation.Run)?.transaction,
             replayed = answer.replayed,
-            ageMillis = if (work is Work.Read) age(request, phase, answer).value else null,
+            ageMillis = if (operation is Operation.Read) age(request, phase, answer).value else null,
         ),
     )
 }
@@ -62,23 +62,23 @@
     return ages.minOrNull() ?: Millis(0)
 }
 
-/** Retries or resolves after the term changed or the wait ran out before the answer in [phase] was verified. */
-internal fun StepBuilder.verificationFailed(request: PendingRequest, phase: RequestPhase.Verifying) {
-    val work = request.work
+/** Retries or resolves after the term changed or the wait timed out before the answer in [phase] was verified. */
+internal fun StepBuilder.handleUnverifiedAnswer(request: PendingRequest, phase: RequestPhase.Verifying) {
+    val operation = request.operation
     when {
-        work is Work.Run -> {
-            endTransaction(work.transaction, ConnectionCondition.DOUBTFUL)
-            refuseAsSettled(request, ErrorKind.TRANSACTION_ENDED, "the primary was replaced; nothing was committed")
+        operation is Operation.Run -> {
+            endTransaction(operation.transaction, ConnectionCondition.DOUBTFUL)
+            refuseDefinitively(request, ErrorKind.TRANSACTION_ENDED, "the primary was replaced; nothing was committed")
         }
 
-        phase.answer is SessionAnswer.Behind || work is Work.Read ->
-            tryAgain(
+        phase.answer is SessionAnswer.Behind || operation is Operation.Read ->
+            retry(
                 request.copy(avoidedServers = request.avoidedServers + phase.server, replicaWaitOver = true),
                 reason = "unverified",
                 kind = ErrorKind.NO_PRIMARY,
                 message = "no majority confirms the answer of server '${phase.server}'",
             )
 
-        else -> attemptLost(request, work, "durability")
+        else -> handleLostAnswer(request, operation, "durability")
     }
 }
--- a/core/src/test/kotlin/dev/hibiscusreach/core/request/DrainTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/request/DrainTest.kt
@@ -21,13 +21,13 @@
 class DrainTest {
     private val harness = RequestHarness()
 
-    // Guards against requests that the load balancer still sends and that get refused.
+    // Guards against refusing requests that the load balancer still sends until it notices that the proxy is not ready.
     @Test
-    fun `a leaving proxy still takes requests for the notice time`() {
+    fun `a leaving proxy still accepts requests during the notice time`() {
         harness.handle(Event.DrainRequested)
-        harness.pass(millis = 900)
-        harness.arrive(write())
-        harness.pass(millis = 200)
+        harness.advanceTime(millis = 900)
+        harness.sendRequest(write())
+        harness.advanceTime(millis = 200)
         harness.answer(done(at(10)))
 
         expectThat(harness.answers.single()).isA<CallerAnswer.Completed>()
@@ -35,12 +35,12 @@
         expectThat(harness.effects).last().isA<Effect.Exit>()
     }
 
-    // Guards against a shutdown that never ends because new work keeps coming.
+    // Guards against a shutdown that never ends because new requests keep arriving.
     @Test
     fun `a finishing proxy refuses new requests of callers and peers`() {
-        val transaction = harness.begin()
-        finish()
-        harness.arrive(write(), number = 2)
+        val transaction = harness.beginTransaction()
+        enterFinishingPhase()
+        harness.sendRequest(write(), number = 2)
         val forwarded = PeerMessage.ForwardedRequest(ArrivalNumber(5), hops = 1, harness.request(write(), number = 3))
         harness.handle(Event.PeerMessageReceived(Fixture.node(port = 2), forwarded))
 
@@ -50,38 +50,38 @@
         expectThat(harness.state.requests.transactions.keys).contains(transaction)
     }
 
-    // Guards against a shutdown that interrupts a transaction which would have ended in time.
+    // Guards against interrupting a transaction that would end before the drain limit.
     @Test
     fun `an open transaction can commit while the proxy finishes`() {
-        val transaction = harness.begin()
-        finish()
-        harness.arrive(RequestBody.CommitTransaction(transaction, Fixture.WALL_CLOCK), number = 2)
+        val transaction = harness.beginTransaction()
+        enterFinishingPhase()
+        harness.sendRequest(RequestBody.CommitTransaction(transaction, Fixture.WALL_CLOCK), number = 2)
         harness.answer(done(at(11)))
         expectThat(harness.effects).doesNotContain(Effect.Exit)
-        harness.reachDurability()
+        harness.confirmDurability()
 
         expectThat(harness.answers.last()).isA<CallerAnswer.Completed>()
         expectThat(harness.effects).last().isA<Effect.Exit>()
     }
 
-    // Guards against an open transaction that keeps the proxy from exiting, and against a false outcome of it.
+    // Guards against an open transaction that blocks the exit, and against a wrong outcome for its caller.
     @Test
     fun `a transaction that exceeds the drain limit is ended as not run and the proxy exits`() {
-        val transaction = harness.begin()
-        finish()
-        repeat(5) { turn ->
-            harness.pass(millis = 2_000)
-            harness.arrive(RequestBody.TransactionStatements(transaction, write().statements), number = turn + 2L)
-            if (turn < 4) harness.answer(done(at(10)))
+        val transaction = harness.beginTransaction()
+        enterFinishingPhase()
+        repeat(5) { round ->
+            harness.advanceTime(millis = 2_000)
+            harness.sendRequest(RequestBody.TransactionStatements(transaction, write().statements), number = round + 2L)
+            if (round < 4) harness.answer(done(at(10)))
         }
 
         expectThat((harness.answers.last() as CallerAnswer.Refused).kind.outcome.name).isEqualTo("NOT_RUN")
         expectThat(harness.effects).contains(Effect.Exit)
     }
 
-    private fun finish() {
+    private fun enterFinishingPhase() {
         harness.handle(Event.DrainRequested)
-        harness.pass(millis = 1_000)
+        harness.advanceTime(millis = 1_000)
     }
 
     private fun phases() = harness.signalled<Signal.DrainAdvanced>().map { it.phase }
--- a/core/src/test/kotlin/dev/hibiscusreach/core/request/FakeViews.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/request/FakeViews.kt
@@ -13,25 +13,26 @@
 import dev.hibiscusreach.core.model.milliseconds
 import dev.hibiscusreach.core.reducer.ProxyState
 
-/** The views of a group and fleet that a test sets up. */
+/** Views of one database group and the fleet with values that a test sets. */
 internal class FakeViews(private val self: NodeIdentity) : RequestViews, GroupView, FleetView {
     override var term: Term = Term(1)
     override var primary: ServerName? = Fixture.PRIMARY
-    var durable: Position = at(index = 10)
+    var durablePosition: Position = at(index = 10)
     override var leadershipVerifiedAt: MonotonicTime? = null
-    val applied = mutableMapOf(Fixture.PRIMARY to at(10), Fixture.REPLICA to at(10), Fixture.FAR_REPLICA to at(10))
+    val appliedPositions =
+        mutableMapOf(Fixture.PRIMARY to at(10), Fixture.REPLICA to at(10), Fixture.FAR_REPLICA to at(10))
     val homes = mutableMapOf(Fixture.GALWAY to self)
-    val live = mutableSetOf(self)
+    val liveNodes = mutableSetOf(self)
 
-    /** Age of the data at a position; nothing is known of other positions. */
+    /** Age of the data at each known position; the age at other positions is unknown. */
     val ages = mutableMapOf(at(10) to 5.milliseconds)
 
     override fun servers(now: MonotonicTime): List<ServerView> =
-        applied.map { (name, position) ->
+        appliedPositions.map { (name, position) ->
             ServerView(name, reachable = true, leaving = false, position, 1.milliseconds, warmUpPercent = 100)
         }
 
-    override fun isDurable(position: Position): Boolean = position <= durable
+    override fun isDurable(position: Position): Boolean = position <= durablePosition
 
     override fun ageOf(position: Position, now: MonotonicTime): Millis? = ages[position]
 
@@ -45,7 +46,7 @@
 
     override fun home(group: DatabaseGroup, domain: FailureDomainName): NodeIdentity? = homes[domain]
 
-    override fun isLive(node: NodeIdentity): Boolean = node in live
+    override fun isLive(node: NodeIdentity): Boolean = node in liveNodes
 
     override fun domainOf(node: NodeIdentity): FailureDomainName? =
         homes.entries.find { it.value == node }?.key
--- a/core/src/test/kotlin/dev/hibiscusreach/core/request/Fixture.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/request/Fixture.kt
@@ -25,7 +25,7 @@
 import dev.hibiscusreach.core.model.StatementResult
 import dev.hibiscusreach.core.model.Term
 
-/** One database with a primary and a replica in the proxy's region and a replica in another one. */
+/** Configuration of one database with a primary and a replica in the proxy's region and a replica in another region. */
 internal object Fixture {
     val GALWAY = FailureDomainName("galway")
     val MAYO = FailureDomainName("mayo")
--- a/core/src/test/kotlin/dev/hibiscusreach/core/request/ForwardingTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/request/ForwardingTest.kt
@@ -33,10 +33,10 @@
         harness.views.homes[Fixture.DUBLIN] = farHome
     }
 
-    // Guards against a proxy that opens connections which belong to the home of the database.
+    // Guards against a proxy that uses connections which belong to the share of the database's home.
     @Test
-    fun `a request is forwarded to the nearest home and the home's answer is passed on`() {
-        harness.arrive(write())
+    fun `a request is forwarded to the nearest home and the home's answer is relayed`() {
+        harness.sendRequest(write())
         answerFrom(home, completed)
 
         expectThat(harness.forwards).single().get { hops }.isEqualTo(1)
@@ -44,10 +44,10 @@
         expectThat(harness.answers).containsExactly(completed)
     }
 
-    // Guards against an answer of a peer that was not asked, or of a forward that was given up.
+    // Guards against accepting an answer from a peer that did not get the request, or to a forward that was given up.
     @Test
     fun `a forwarded answer from another peer or for an earlier forward is discarded`() {
-        harness.arrive(read())
+        harness.sendRequest(read())
         val first = harness.forwards.last().arrival
         answerFrom(farHome, completed)
         harness.handle(Event.PeerUnreachable(home))
@@ -57,10 +57,10 @@
         expectThat(harness.counted(CounterName.DISCARDED_ANSWERS)).hasSize(2)
     }
 
-    // Guards against a write that runs twice, or is called not run, because the peer that carried it is lost.
+    // Guards against a write that runs twice or is reported as not run because the peer it was forwarded to is lost.
     @Test
     fun `a write is resolved through another home when its peer is lost`() {
-        harness.arrive(write())
+        harness.sendRequest(write())
         harness.handle(Event.PeerUnreachable(home))
 
         expectThat(harness.forwards.last().request.body).isA<RequestBody.ResolveOutcome>()
@@ -68,21 +68,21 @@
         expectThat(harness.refusals).containsExactly(ErrorKind.OUTCOME_UNKNOWN)
     }
 
-    // Guards against a deadline that claims "not run" for a write which the peer may have carried out.
+    // Guards against reporting "not run" at the deadline for a write that the peer may have run.
     @Test
-    fun `an expired deadline of a forwarded request is not run for a read and unknown for a write`() {
-        harness.arrive(read(), number = 1, deadline = 400)
-        harness.arrive(write(), number = 2, deadline = 400)
-        harness.pass(millis = 400)
+    fun `an expired forwarded request is reported as not run for a read and as unknown for a write`() {
+        harness.sendRequest(read(), number = 1, deadline = 400)
+        harness.sendRequest(write(), number = 2, deadline = 400)
+        harness.advanceTime(millis = 400)
 
         expectThat(harness.refusals).containsExactly(ErrorKind.DEADLINE_EXCEEDED, ErrorKind.OUTCOME_UNKNOWN)
         expectThat(harness.forwards.map { it.request.deadline.value }).containsExactly(360, 360)
     }
 
-    // Guards against a proxy that fails requests although it could serve them, because all homes are lost.
+    // Guards against refusing requests that this proxy could serve itself when all homes are lost.
     @Test
     fun `a read uses the proxy's own connections when no home can be reached`() {
-        harness.arrive(read())
+        harness.sendRequest(read())
         harness.handle(Event.PeerUnreachable(home))
         harness.handle(Event.PeerUnreachable(farHome))
 
@@ -90,41 +90,41 @@
         expectThat(harness.lastCommand).isA<SessionCommand.Execute>()
     }
 
-    // Guards against reads that are sent to one home after the other while they wait for a new primary at the first.
+    // Guards against forwarding a read to one home after another while it waits for a new primary at the first one.
     @Test
     fun `a read stays with its peer until the peer is gone`() {
-        harness.arrive(read())
-        harness.pass(millis = 5_000)
+        harness.sendRequest(read())
+        harness.advanceTime(millis = 5_000)
         expectThat(harness.forwards).hasSize(1)
 
         harness.handle(Signal.PeerGone(home))
         expectThat(harness.forwards).hasSize(2)
     }
 
-    // Guards against requests that circle between proxies whose views differ.
+    // Guards against forwarding loops between proxies whose views of the homes differ.
     @Test
-    fun `a request that was forwarded twice is served here`() {
-        receive(write(), hops = 2)
+    fun `a request that was forwarded twice is served without another forward`() {
+        receiveForwarded(write(), hops = 2)
         harness.answer(done(at(10)))
 
         expectThat(harness.forwards).isEmpty()
         expectThat(harness.sent<PeerMessage.ForwardedAnswer>()).single().get { arrival }.isEqualTo(ArrivalNumber(5))
     }
 
-    // Guards against a home that serves from its small reserve although the server's own home is up.
+    // Guards against a home that uses its small reserve of connections although the server's own home is live.
     @Test
     fun `a home forwards to the home in the domain of the chosen server`() {
         harness.views.homes[Fixture.GALWAY] = harness.self
         harness.views.homes[Fixture.MAYO] = home
-        receive(read(), hops = 1)
+        receiveForwarded(read(), hops = 1)
 
         expectThat(harness.forwards).single().get { hops }.isEqualTo(2)
     }
 
-    // Guards against a caller that is refused because the home was just shutting down.
+    // Guards against refusing a caller because the home is shutting down.
     @Test
-    fun `a request that a draining peer refuses is sent elsewhere`() {
-        harness.arrive(write())
+    fun `a request that a draining peer refuses is forwarded to another peer`() {
+        harness.sendRequest(write())
         answerFrom(home, CallerAnswer.Refused(ErrorKind.DRAINING, "shutting down"))
 
         expectThat(harness.answers).isEmpty()
@@ -136,7 +136,7 @@
         harness.handle(Event.PeerMessageReceived(peer, message))
     }
 
-    private fun receive(body: RequestBody, hops: Int) {
+    private fun receiveForwarded(body: RequestBody, hops: Int) {
         val message = PeerMessage.ForwardedRequest(ArrivalNumber(5), hops, harness.request(body))
         harness.handle(Event.PeerMessageReceived(home, message))
     }
--- a/core/src/test/kotlin/dev/hibiscusreach/core/request/ReadTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/request/ReadTest.kt
@@ -18,10 +18,10 @@
 class ReadTest {
     private val harness = RequestHarness()
 
-    // Guards against reads that load the primary although a replica of the region is fresh.
+    // Guards against reads that load the primary although a replica in the region is fresh.
     @Test
     fun `a read goes to a fresh replica and its token covers the position that it saw`() {
-        harness.arrive(read(), seen = at(9))
+        harness.sendRequest(read(), seen = at(9))
         harness.answer(done(at(10), Fixture.REPLICA))
 
         expectThat(harness.completed.server).isEqualTo(Fixture.REPLICA)
@@ -36,30 +36,30 @@
 
     // Guards against a session that does not see its own write because the chosen replica lags.
     @Test
-    fun `a read whose session is ahead of the replicas waits shortly and goes to the primary`() {
-        harness.arrive(read(), seen = at(12))
+    fun `a read whose session is ahead of the replicas waits briefly and goes to the primary`() {
+        harness.sendRequest(read(), seen = at(12))
         expectThat(harness.commands).isEmpty()
-        harness.pass(millis = 50)
+        harness.advanceTime(millis = 50)
 
         expectThat(harness.signalled<Signal.ConnectionWanted>()).single().get { server }.isEqualTo(Fixture.PRIMARY)
         expectThat(harness.lastCommand).isA<SessionCommand.Execute>().get { minimumPosition }.isEqualTo(at(12))
     }
 
-    // Guards against a wait for a replica that goes on after the replica has caught up.
+    // Guards against waiting for a replica after it has caught up.
     @Test
-    fun `a waiting read goes on when a replica is observed at its position`() {
-        harness.arrive(read(), seen = at(12))
-        harness.views.applied[Fixture.REPLICA] = at(12)
+    fun `a waiting read continues when a replica is observed at its position`() {
+        harness.sendRequest(read(), seen = at(12))
+        harness.views.appliedPositions[Fixture.REPLICA] = at(12)
         harness.views.ages[at(12)] = harness.views.ages.getValue(at(10))
         harness.handle(Signal.GroupObserved(Fixture.JOBS))
 
         expectThat(harness.signalled<Signal.ConnectionWanted>()).single().get { server }.isEqualTo(Fixture.REPLICA)
     }
 
-    // Guards against data from a replaced, isolated primary in a read that asks for the newest data.
+    // Guards against stale data from an isolated, replaced primary in a read that asks for the newest data.
     @Test
     fun `a read of the newest data is delivered only after leadership is confirmed`() {
-        harness.arrive(read(maximumAgeMillis = 0))
+        harness.sendRequest(read(maximumAgeMillis = 0))
         harness.answer(done(at(10)))
         expectThat(harness.answers).isEmpty()
 
@@ -67,22 +67,22 @@
         expectThat(harness.completed.server).isEqualTo(Fixture.PRIMARY)
     }
 
-    // Guards against data that was read and disappears in a failover.
+    // Guards against reading data that a failover discards afterwards.
     @Test
     fun `a read of a position that no majority holds waits for its durability`() {
-        harness.arrive(read())
+        harness.sendRequest(read())
         harness.views.ages[at(11)] = harness.views.ages.getValue(at(10))
         harness.answer(done(at(11), Fixture.REPLICA))
         expectThat(harness.answers).isEmpty()
 
-        harness.reachDurability()
+        harness.confirmDurability()
         expectThat(harness.completed.position).isEqualTo(at(11))
     }
 
-    // Guards against an estimate of the age that the answer does not keep.
+    // Guards against an answer that is older than the age that the replica was estimated to have.
     @Test
-    fun `an answer that is too old is not delivered and the read is tried at the primary`() {
-        harness.arrive(read())
+    fun `an answer that is too old is not delivered and the read is retried at the primary`() {
+        harness.sendRequest(read())
         harness.answer(done(at(3), Fixture.REPLICA))
 
         expectThat(harness.answers).isEmpty()
@@ -90,10 +90,10 @@
         expectThat(harness.commands).hasSize(2)
     }
 
-    // Guards against a replica that has not joined the current term and has entries that the term lacks.
+    // Guards against data of a replica that has not joined the current term and holds entries that the term lacks.
     @Test
     fun `an answer of an earlier term is not delivered`() {
-        harness.arrive(read())
+        harness.sendRequest(read())
         harness.replacePrimary(Fixture.REPLICA, term = 2)
         harness.answer(done(at(10), Fixture.REPLICA))
 
@@ -104,19 +104,19 @@
     // Guards against retries that multiply the load on a failing database.
     @Test
     fun `a read is refused as not run once its three attempts are used up`() {
-        harness.arrive(read())
+        harness.sendRequest(read())
         repeat(3) { harness.breakConnection() }
 
         expectThat(harness.commands).hasSize(3)
         expectThat(harness.refusals).containsExactly(ErrorKind.SERVER_UNREACHABLE)
     }
 
-    // Guards against a burst of failures that repeats every request three times.
+    // Guards against a burst of failures that triples the load with retries.
     @Test
     fun `no request is retried once the retry budget of its database is used up`() {
         val requests = 1..12L
         requests.forEach { number ->
-            harness.arrive(read(), number)
+            harness.sendRequest(read(), number)
             harness.breakConnection()
         }
 
@@ -124,21 +124,21 @@
         expectThat(harness.refusals).containsExactly(ErrorKind.SERVER_UNREACHABLE)
     }
 
-    // Guards against a token from the future that makes every server wait or answer with older data.
+    // Guards against a token ahead of the database that makes every server wait or answer with older data.
     @Test
     fun `a token that is ahead of the confirmed primary is refused`() {
-        harness.arrive(read(maximumAgeMillis = 0), seen = at(99))
+        harness.sendRequest(read(maximumAgeMillis = 0), seen = at(99))
         harness.answer(SessionAnswer.Behind(status()))
         harness.confirmLeadership()
 
         expectThat(harness.refusals).containsExactly(ErrorKind.FUTURE_TOKEN)
     }
 
-    // Guards against a saturated replica that fails reads which another server could take.
+    // Guards against failing reads at a saturated replica although another server could serve them.
     @Test
     fun `a read that gets no connection to a replica goes to another server`() {
-        harness.denied[Fixture.REPLICA] = ErrorKind.OVERLOADED
-        harness.arrive(read())
+        harness.denials[Fixture.REPLICA] = ErrorKind.OVERLOADED
+        harness.sendRequest(read())
 
         expectThat(harness.signalled<Signal.ConnectionWanted>().map { it.server })
             .containsExactly(Fixture.REPLICA, Fixture.PRIMARY)
--- a/core/src/test/kotlin/dev/hibiscusreach/core/request/RequestHarness.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/request/RequestHarness.kt
@@ -33,14 +33,14 @@
 import dev.hibiscusreach.core.reducer.ProxyState
 import dev.hibiscusreach.core.reducer.Step
 
-/** Drives the requests part with fakes for the other parts: a pool that grants or denies at once, and set views. */
+/** Runs the requests part with a fake pools part, which grants or denies connections at once, and with [FakeViews]. */
 internal class RequestHarness {
     val self = Fixture.node(port = 1)
     val views = FakeViews(self)
     val effects = mutableListOf<Effect>()
     val signals = mutableListOf<Signal>()
-    val denied = mutableMapOf<ServerName, ErrorKind>()
-    var poolsAnswer = true
+    val denials = mutableMapOf<ServerName, ErrorKind>()
+    var poolsRespond = true
     val servers = mutableMapOf<ConnectionNumber, ServerName>()
     private val timers = mutableMapOf<TimerKey, MonotonicTime>()
     private var now = MonotonicTime(1_000_000)
@@ -48,8 +48,8 @@
     private val fakePools =
         Part { state, event, _ ->
             if (event is Signal) signals += event
-            val isAnswered = event is Signal.ConnectionWanted && poolsAnswer
-            if (isAnswered) Step(state, signals = listOf(reply(event))) else Step(state)
+            val isAnswered = event is Signal.ConnectionWanted && poolsRespond
+            if (isAnswered) Step(state, signals = listOf(poolReply(event))) else Step(state)
         }
     private val reducer = ProxyReducer(listOf(fakePools, RequestsPart(views)))
     var state: ProxyState =
@@ -81,8 +81,8 @@
         }
     }
 
-    /** Lets [millis] pass and fires the timers that are due. */
-    fun pass(millis: Long) {
+    /** Advances the time by [millis] and fires the timers that become due. */
+    fun advanceTime(millis: Long) {
         val end = now + Millis(millis)
         while (true) {
             val (key, due) = timers.entries.filter { it.value <= end }.minByOrNull { it.value } ?: break
@@ -93,7 +93,7 @@
         now = end
     }
 
-    fun arrive(
+    fun sendRequest(
         body: RequestBody,
         number: Long = 1,
         seen: Position = Position.ORIGIN,
@@ -116,8 +116,8 @@
         )
 
     /** Opens a transaction and returns its identifier. */
-    fun begin(number: Long = 1): String {
-        arrive(RequestBody.BeginTransaction, number)
+    fun beginTransaction(number: Long = 1): String {
+        sendRequest(RequestBody.BeginTransaction, number)
         answer(done(at(10)))
         return checkNotNull((answers.last() as CallerAnswer.Completed).transaction)
     }
@@ -131,22 +131,22 @@
     fun breakConnection() =
         handle(Signal.ConnectionLost(commands.last().connection, ConnectionFailure.BROKEN))
 
-    fun reachDurability() = handle(Signal.DurabilityReached(signalled<Signal.DurabilityWanted>().last().attempt))
+    fun confirmDurability() = handle(Signal.DurabilityReached(signalled<Signal.DurabilityWanted>().last().attempt))
 
-    fun missDurability() = handle(Signal.DurabilityNotReached(signalled<Signal.DurabilityWanted>().last().attempt))
+    fun failDurability() = handle(Signal.DurabilityNotReached(signalled<Signal.DurabilityWanted>().last().attempt))
 
     fun confirmLeadership() =
         handle(Signal.LeadershipConfirmed(signalled<Signal.LeadershipWanted>().last().attempt))
 
-    /** Makes [server] the primary of [term]; null while the replacement goes on. */
+    /** Makes [server] the primary of [term]; null while no new primary is known. */
     fun replacePrimary(server: ServerName?, term: Long) {
         views.term = Term(term)
         views.primary = server
         handle(Signal.PrimaryChanged(Fixture.JOBS, views.term, server))
     }
 
-    fun reply(wanted: Signal.ConnectionWanted): Signal =
-        denied[wanted.server]?.let { Signal.ConnectionDenied(wanted.attempt, it) }
+    fun poolReply(wanted: Signal.ConnectionWanted): Signal =
+        denials[wanted.server]?.let { Signal.ConnectionDenied(wanted.attempt, it) }
             ?: Signal.ConnectionGranted(wanted.attempt, ConnectionNumber(++connections)).also {
                 servers[it.connection] = wanted.server
             }
--- a/core/src/test/kotlin/dev/hibiscusreach/core/request/TransactionTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/request/TransactionTest.kt
@@ -20,80 +20,80 @@
 class TransactionTest {
     private val harness = RequestHarness()
 
-    // Guards against a transaction whose statements reach different connections.
+    // Guards against sending the statements of a transaction on different connections.
     @Test
     fun `a transaction keeps its connection until its commit is durable`() {
-        val transaction = harness.begin()
+        val transaction = harness.beginTransaction()
         run(transaction, number = 2)
         harness.answer(done(at(10)))
         commit(transaction, number = 3)
         harness.answer(done(at(11)))
         expectThat(harness.answers).hasSize(2)
-        harness.reachDurability()
+        harness.confirmDurability()
 
         expectThat(harness.answers.last()).isA<CallerAnswer.Completed>().get { position }.isEqualTo(at(11))
         expectThat(harness.commands.map { it.connection }.distinct()).hasSize(1)
-        expectThat(returned()).containsExactly(ConnectionCondition.CLEAN)
+        expectThat(returnedConditions()).containsExactly(ConnectionCondition.CLEAN)
         expectThat(harness.state.requests.transactions.toMap()).isEmpty()
     }
 
-    // Guards against two requests of a transaction whose answers mix, and against the use by another caller.
+    // Guards against mixed-up answers of concurrent requests of a transaction, and against its use by another caller.
     @Test
-    fun `a transaction takes one request at a time and only from its caller`() {
-        val transaction = harness.begin()
+    fun `a transaction accepts one request at a time and only from its caller`() {
+        val transaction = harness.beginTransaction()
         run(transaction, number = 2)
         run(transaction, number = 3)
         commit(transaction, number = 4)
-        harness.arrive(RequestBody.RollbackTransaction(transaction), number = 5, caller = Fixture.OFFICE)
+        harness.sendRequest(RequestBody.RollbackTransaction(transaction), number = 5, caller = Fixture.OFFICE)
 
         expectThat(harness.answers.drop(1).map { (it as CallerAnswer.Refused).kind })
             .containsExactly(ErrorKind.CONFLICT, ErrorKind.OUTCOME_UNKNOWN, ErrorKind.TRANSACTION_UNKNOWN)
     }
 
-    // Guards against a transaction that goes on without the statements of its lost connection.
+    // Guards against continuing a transaction without the statements that its lost connection had run.
     @Test
     fun `a connection lost before the commit ends the transaction as not run`() {
-        val transaction = harness.begin()
+        val transaction = harness.beginTransaction()
         run(transaction, number = 2)
         harness.breakConnection()
         run(transaction, number = 3)
 
         expectThat(lastRefusal()).isEqualTo(ErrorKind.TRANSACTION_ENDED)
         expectThat(harness.answers).hasSize(3)
-        expectThat(returned()).isEmpty()
+        expectThat(returnedConditions()).isEmpty()
     }
 
-    // Guards against a commit that ran and is reported as ended, or is run a second time.
+    // Guards against a commit that ran and is reported as ended or runs a second time.
     @Test
-    fun `a connection lost at the commit is resolved by the identifier of the commit`() {
-        val transaction = harness.begin()
+    fun `a commit whose connection is lost is resolved by its request identifier`() {
+        val transaction = harness.beginTransaction()
         commit(transaction, number = 2)
         harness.breakConnection()
         expectThat(harness.lastCommand).isA<SessionCommand.Resolve>().get { identifier.value }.isEqualTo("request-2")
 
         harness.answer(done(at(11)))
-        harness.reachDurability()
+        harness.confirmDurability()
         expectThat(harness.answers.last()).isA<CallerAnswer.Completed>()
     }
 
     // Guards against a caller that repeats a commit and is told that the committed transaction was not run.
     @Test
     fun `a commit that is repeated after the transaction ended is answered from its record`() {
-        val transaction = harness.begin()
+        val transaction = harness.beginTransaction()
         commit(transaction, number = 2)
         harness.answer(done(at(11)))
-        harness.reachDurability()
+        harness.confirmDurability()
         commit(transaction, number = 2)
 
         expectThat(harness.lastCommand).isA<SessionCommand.Resolve>()
     }
 
-    // Guards against a transaction that goes on at a replaced primary, whose commit cannot become durable.
+    // Guards against continuing a transaction at a replaced primary, where its commit cannot become durable.
     @Test
-    fun `a new term ends idle and running transactions and resolves a commit under way`() {
-        val idle = harness.begin(number = 1)
-        val running = harness.begin(number = 2)
-        val committing = harness.begin(number = 3)
+    fun `a new term ends idle and running transactions and resolves a commit in flight`() {
+        val idle = harness.beginTransaction(number = 1)
+        val running = harness.beginTransaction(number = 2)
+        val committing = harness.beginTransaction(number = 3)
         run(running, number = 4)
         commit(committing, number = 5)
         harness.replacePrimary(Fixture.REPLICA, term = 2)
@@ -102,34 +102,38 @@
         expectThat(harness.answers.drop(3).map { (it as CallerAnswer.Refused).kind })
             .containsExactly(ErrorKind.TRANSACTION_ENDED, ErrorKind.TRANSACTION_ENDED)
         expectThat(harness.lastCommand).isA<SessionCommand.Resolve>()
-        expectThat(returned()).hasSize(3).get { distinct() }.containsExactly(ConnectionCondition.DOUBTFUL)
+        expectThat(returnedConditions()).hasSize(3).get { distinct() }.containsExactly(ConnectionCondition.DOUBTFUL)
     }
 
-    // Guards against an abandoned transaction that holds its connection and locks.
+    // Guards against an abandoned transaction that keeps its connection and locks.
     @Test
-    fun `a transaction ends after its idle time and after its life`() {
-        harness.begin(number = 1)
-        harness.pass(millis = 5_000)
-        expectThat(returned()).containsExactly(ConnectionCondition.DOUBTFUL)
+    fun `a transaction ends at its idle limit and at its lifetime limit`() {
+        harness.beginTransaction(number = 1)
+        harness.advanceTime(millis = 5_000)
+        expectThat(returnedConditions()).containsExactly(ConnectionCondition.DOUBTFUL)
 
-        val transaction = harness.begin(number = 2)
+        val transaction = harness.beginTransaction(number = 2)
         for (number in 3..10L) {
-            harness.pass(millis = 4_000)
+            harness.advanceTime(millis = 4_000)
             run(transaction, number)
             if (harness.state.requests.pending.isNotEmpty()) harness.answer(done(at(10)))
         }
         expectThat(lastRefusal()).isEqualTo(ErrorKind.TRANSACTION_ENDED)
     }
 
-    // Guards against a statement that hangs and keeps the transaction, its connection and its caller waiting.
+    // Guards against a hanging statement that blocks the transaction, its connection and its caller.
     @Test
     fun `a statement that exceeds its deadline ends the transaction`() {
-        val transaction = harness.begin()
-        harness.arrive(RequestBody.TransactionStatements(transaction, write().statements), number = 2, deadline = 100)
-        harness.pass(millis = 100)
+        val transaction = harness.beginTransaction()
+        harness.sendRequest(
+            RequestBody.TransactionStatements(transaction, write().statements),
+            number = 2,
+            deadline = 100,
+        )
+        harness.advanceTime(millis = 100)
 
         expectThat(lastRefusal()).isEqualTo(ErrorKind.TRANSACTION_ENDED)
-        expectThat(returned()).containsExactly(ConnectionCondition.DOUBTFUL)
+        expectThat(returnedConditions()).containsExactly(ConnectionCondition.DOUBTFUL)
     }
 
     // Guards against a proxy that refuses a transaction because another proxy holds it.
@@ -137,7 +141,7 @@
     fun `a request of a transaction is forwarded to the proxy that holds it`() {
         val owner = Fixture.node(port = 2)
         val transaction = TransactionIdentifier(owner, number = 1, random = 2).toString()
-        harness.views.live += owner
+        harness.views.liveNodes += owner
         run(transaction, number = 1)
         commit(transaction, number = 2)
         expectThat(harness.forwards).hasSize(2)
@@ -147,7 +151,7 @@
         expectThat(harness.lastCommand).isA<SessionCommand.Resolve>()
     }
 
-    // Guards against a forged identifier that fails the proxy or reaches another caller's transaction.
+    // Guards against a forged identifier that makes the proxy fail or accesses another caller's transaction.
     @Test
     fun `an invalid transaction identifier is refused`() {
         run("no identifier", number = 1)
@@ -156,20 +160,20 @@
         expectThat(harness.refusals).containsExactly(ErrorKind.TRANSACTION_UNKNOWN, ErrorKind.TRANSACTION_UNKNOWN)
     }
 
-    // Guards against a transaction that stays open because its caller left before it got the identifier.
+    // Guards against a transaction that stays open because its caller disconnected before it got the identifier.
     @Test
-    fun `a transaction whose caller is gone before it began is closed`() {
-        harness.arrive(RequestBody.BeginTransaction)
+    fun `a transaction whose caller disconnects before it begins is ended`() {
+        harness.sendRequest(RequestBody.BeginTransaction)
         harness.handle(Event.CallerDisconnected(ArrivalNumber(1)))
         harness.answer(done(at(10)))
 
         expectThat(harness.answers).isEmpty()
-        expectThat(returned()).containsExactly(ConnectionCondition.DOUBTFUL)
+        expectThat(returnedConditions()).containsExactly(ConnectionCondition.DOUBTFUL)
     }
 
-    // Guards against a transaction of a forwarded request that only the forwarding proxy could use.
+    // Guards against a transaction identifier that names the forwarding proxy instead of the one with the connection.
     @Test
-    fun `a transaction that a peer's caller opened names this proxy`() {
+    fun `the identifier of a transaction that a peer's caller opened names this proxy`() {
         val request = harness.request(RequestBody.BeginTransaction)
         val message = PeerMessage.ForwardedRequest(ArrivalNumber(5), hops = 1, request)
         harness.handle(Event.PeerMessageReceived(Fixture.node(port = 2), message))
@@ -180,12 +184,12 @@
     }
 
     private fun run(transaction: String, number: Long) =
-        harness.arrive(RequestBody.TransactionStatements(transaction, write().statements), number)
+        harness.sendRequest(RequestBody.TransactionStatements(transaction, write().statements), number)
 
     private fun commit(transaction: String, number: Long) =
-        harness.arrive(RequestBody.CommitTransaction(transaction, Fixture.WALL_CLOCK), number)
+        harness.sendRequest(RequestBody.CommitTransaction(transaction, Fixture.WALL_CLOCK), number)
 
     private fun lastRefusal() = (harness.answers.last() as CallerAnswer.Refused).kind
 
-    private fun returned() = harness.signalled<Signal.ConnectionReturned>().map { it.condition }
+    private fun returnedConditions() = harness.signalled<Signal.ConnectionReturned>().map { it.condition }
 }
--- a/core/src/test/kotlin/dev/hibiscusreach/core/request/WriteTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/request/WriteTest.kt
@@ -30,14 +30,14 @@
 class WriteTest {
     private val harness = RequestHarness()
 
-    // Guards against an acknowledged write that a failover loses.
+    // Guards against losing an acknowledged write in a failover.
     @Test
     fun `a write is acknowledged once a majority holds its position`() {
-        harness.arrive(write())
+        harness.sendRequest(write())
         harness.answer(done(at(11)))
         expectThat(harness.answers).isEmpty()
 
-        harness.reachDurability()
+        harness.confirmDurability()
         expectThat(harness.completed.session.positionOf(Fixture.JOBS)).isEqualTo(at(11))
         expectThat(harness.lastCommand).isA<SessionCommand.Execute>().get { idempotencyKey }.isNotNull()
     }
@@ -45,23 +45,23 @@
     // Guards against a write that ran and is reported as failed or runs again because its answer was lost.
     @Test
     fun `a write whose answer is lost after it ran is resolved from its record`() {
-        harness.arrive(write())
+        harness.sendRequest(write())
         harness.breakConnection()
         expectThat(harness.lastCommand).isA<SessionCommand.Resolve>()
 
         harness.answer(done(at(11)))
         expectThat(harness.answers).isEmpty()
-        harness.reachDurability()
+        harness.confirmDurability()
         expectThat(harness.lastCommand).isA<SessionCommand.Execute>()
-        harness.views.durable = at(11)
+        harness.views.durablePosition = at(11)
         harness.answer(done(at(11)).copy(replayed = true))
         expectThat(harness.completed.results).isEqualTo(Fixture.RESULTS)
     }
 
-    // Guards against the results of another request, whose identifier this one reused, after a lost answer.
+    // Guards against returning the results of another request with the same identifier after a lost answer.
     @Test
     fun `a lost write with a reused identifier does not get the results of the other request`() {
-        harness.arrive(write())
+        harness.sendRequest(write())
         harness.breakConnection()
         harness.answer(done(at(10)))
         harness.answer(SessionAnswer.IdentifierReused(status()))
@@ -69,28 +69,28 @@
         expectThat(harness.refusals).containsExactly(ErrorKind.REQUEST_IDENTIFIER_REUSED)
     }
 
-    // Guards against a "not run" that a failover makes wrong, because the cancellation record is lost.
+    // Guards against reporting "not run" while a failover can still lose the cancellation record.
     @Test
     fun `a write that is cancelled is refused as not run only once the cancellation is durable`() {
-        harness.arrive(write())
+        harness.sendRequest(write())
         harness.breakConnection()
         harness.answer(SessionAnswer.Cancelled(status(), at(11)))
         expectThat(harness.answers).isEmpty()
 
-        harness.reachDurability()
+        harness.confirmDurability()
         expectThat(harness.refusals).containsExactly(ErrorKind.REQUEST_CANCELLED)
     }
 
-    // Guards against an answer that reaches another request, or that is counted after its request was given up.
+    // Guards against delivering an answer to another request, or accepting it after its request was given up.
     @Test
     fun `crossed and late answers are discarded and counted`() {
-        harness.arrive(write(), number = 1)
+        harness.sendRequest(write(), number = 1)
         val first = harness.commands.last()
-        harness.arrive(write(), number = 2)
+        harness.sendRequest(write(), number = 2)
         val second = harness.commands.last()
         harness.answer(first.copy(connection = second.connection), done(at(11)))
         harness.answer(first.copy(connection = ConnectionNumber(99)), done(at(11)))
-        harness.pass(millis = 2_000)
+        harness.advanceTime(millis = 2_000)
         harness.answer(first, done(at(11)))
 
         expectThat(harness.answers).isEmpty()
@@ -98,24 +98,24 @@
             .containsExactly("connection", "connection", "attempt")
     }
 
-    // Guards against a repeated write that never gets an answer, because its record was written before the primary's
-    // term and this proxy has not seen where the term began.
+    // Guards against a repeated write that is never answered, because its record precedes the primary's term and this
+    // proxy does not know where that term began.
     @Test
-    fun `the record of a repeated write from an earlier term is proved by the position that the primary has reached`() {
+    fun `the record of a repeated write from an earlier term is verified by the primary's applied position`() {
         harness.replacePrimary(Fixture.REPLICA, term = 2)
-        harness.arrive(write())
+        harness.sendRequest(write())
         val reached = status(Fixture.REPLICA, term = 2).copy(role = ServerRole.PRIMARY, applied = at(20, term = 2))
         harness.answer(SessionAnswer.Done(reached, Fixture.RESULTS, at(11), replayed = true))
 
         expectThat(harness.signalled<Signal.DurabilityWanted>().last().position).isEqualTo(at(20, term = 2))
-        harness.reachDurability()
+        harness.confirmDurability()
         expectThat(harness.completed.session.positionOf(Fixture.JOBS)).isEqualTo(at(11))
     }
 
-    // Guards against an acknowledgement by a replaced primary, and against a gap that lasts until a time-out.
+    // Guards against an acknowledgement by a replaced primary, and against an outage that lasts until the timeout.
     @Test
-    fun `a write that is under way when the primary is replaced is resolved at the new one`() {
-        harness.arrive(write())
+    fun `a write that is in flight when the primary is replaced is resolved at the new one`() {
+        harness.sendRequest(write())
         val sent = harness.commands.last()
         harness.replacePrimary(server = null, term = 2)
         harness.answer(sent, done(at(11)))
@@ -124,39 +124,39 @@
         harness.replacePrimary(Fixture.REPLICA, term = 2)
         expectThat(harness.lastCommand).isA<SessionCommand.Resolve>().get { term }.isEqualTo(harness.views.term)
         harness.answer(SessionAnswer.Cancelled(status(Fixture.REPLICA, term = 2), at(1, term = 2)))
-        harness.reachDurability()
+        harness.confirmDurability()
         expectThat(harness.refusals).containsExactly(ErrorKind.REQUEST_CANCELLED)
     }
 
-    // Guards against a caller that takes a write for done or not done while a failover can still decide either.
+    // Guards against reporting a write as run or not run while a failover can still lead to either outcome.
     @Test
     fun `a write that never becomes durable or resolved is reported as unknown at its deadline`() {
-        harness.arrive(write(), deadline = 3_000)
+        harness.sendRequest(write(), deadline = 3_000)
         harness.answer(done(at(11)))
-        harness.missDurability()
+        harness.failDurability()
         harness.replacePrimary(server = null, term = 2)
-        harness.pass(millis = 3_000)
+        harness.advanceTime(millis = 3_000)
 
         expectThat(harness.refusals).containsExactly(ErrorKind.OUTCOME_UNKNOWN)
     }
 
-    // Guards against a write that is sent to a primary which is known to be replaced.
+    // Guards against sending a write to a primary that is known to be replaced.
     @Test
     fun `a write without a primary waits for the new one and then runs`() {
         harness.replacePrimary(server = null, term = 2)
-        harness.arrive(write())
+        harness.sendRequest(write())
         expectThat(harness.commands).isEmpty()
 
         harness.replacePrimary(Fixture.REPLICA, term = 2)
         expectThat(harness.commands).hasSize(1)
     }
 
-    // Guards against requests that pile up during a long outage.
+    // Guards against requests that accumulate during a long outage.
     @Test
     fun `a write without a primary is refused after a few seconds`() {
         harness.views.primary = null
-        harness.arrive(write())
-        harness.pass(millis = 5_000)
+        harness.sendRequest(write())
+        harness.advanceTime(millis = 5_000)
 
         expectThat(harness.refusals).containsExactly(ErrorKind.NO_PRIMARY)
     }
@@ -164,45 +164,45 @@
     // Guards against endless signals when the pools part denies connections to a dead primary at once.
     @Test
     fun `a write whose primary cannot be reached waits for another primary`() {
-        harness.denied[Fixture.PRIMARY] = ErrorKind.SERVER_UNREACHABLE
-        harness.arrive(write())
-        harness.pass(millis = 600)
+        harness.denials[Fixture.PRIMARY] = ErrorKind.SERVER_UNREACHABLE
+        harness.sendRequest(write())
+        harness.advanceTime(millis = 600)
         harness.replacePrimary(Fixture.REPLICA, term = 2)
 
         expectThat(harness.commands).hasSize(1)
         expectThat(harness.answers).isEmpty()
     }
 
-    // Guards against a repeated identifier that hides a different request behind old results.
+    // Guards against answering a different request that reuses an identifier with the recorded results.
     @Test
     fun `a reused identifier is refused and different statements have different fingerprints`() {
-        harness.arrive(write())
+        harness.sendRequest(write())
         val key = (harness.lastCommand as SessionCommand.Execute).idempotencyKey
         harness.answer(SessionAnswer.IdentifierReused(status()))
-        harness.arrive(write().copy(statements = read().statements))
+        harness.sendRequest(write().copy(statements = read().statements))
 
         expectThat(harness.refusals).containsExactly(ErrorKind.REQUEST_IDENTIFIER_REUSED)
         expectThat((harness.lastCommand as SessionCommand.Execute).idempotencyKey).isNotEqualTo(key)
     }
 
-    // Guards against a write that runs again after its idempotency record was removed.
+    // Guards against a write that runs again after its idempotency record has expired.
     @Test
-    fun `a write that is too old, undated or dated ahead is refused and nothing is sent`() {
+    fun `a write that is too old, has no creation time or one in the future is refused and nothing is sent`() {
         val retention = 23 * 60 * 60 * 1_000L
-        harness.arrive(write(createdAtMillis = Fixture.WALL_CLOCK - retention - 1), number = 1)
-        harness.arrive(write(createdAtMillis = null), number = 2)
-        harness.arrive(write(createdAtMillis = Fixture.WALL_CLOCK + 600_000), number = 3)
+        harness.sendRequest(write(createdAtMillis = Fixture.WALL_CLOCK - retention - 1), number = 1)
+        harness.sendRequest(write(createdAtMillis = null), number = 2)
+        harness.sendRequest(write(createdAtMillis = Fixture.WALL_CLOCK + 600_000), number = 3)
 
         expectThat(harness.refusals)
             .containsExactly(ErrorKind.REQUEST_TOO_OLD, ErrorKind.MALFORMED_REQUEST, ErrorKind.MALFORMED_REQUEST)
         expectThat(harness.commands).isEmpty()
     }
 
-    // Guards against work for requests that name nothing in the inventory or do nothing.
+    // Guards against processing requests that refer to nothing in the inventory or have no statements.
     @Test
     fun `a request of an unknown caller, without statements or with a foreign token is refused`() {
-        harness.arrive(write(), number = 1, caller = CallerName("stranger"))
-        harness.arrive(write().copy(statements = emptyList()), number = 2)
+        harness.sendRequest(write(), number = 1, caller = CallerName("stranger"))
+        harness.sendRequest(write().copy(statements = emptyList()), number = 2)
         val foreign = SessionToken(mapOf(DatabaseName("other") to at(1)))
         harness.handle(Event.RequestArrived(ArrivalNumber(3), harness.request(write()).copy(session = foreign)))
 
@@ -211,7 +211,7 @@
         expectThat(harness.commands).isEmpty()
     }
 
-    // Guards against a connection that nobody returns because it was granted too late.
+    // Guards against a leaked connection that was granted after its request had ended.
     @Test
     fun `a connection that is granted after its request ended is returned`() {
         harness.handle(Signal.ConnectionGranted(AttemptNumber(PartName.REQUESTS, value = 9), ConnectionNumber(9)))
@@ -219,10 +219,10 @@
         expectThat(harness.signalled<Signal.ConnectionReturned>()).hasSize(1)
     }
 
-    // Guards against a "not run" for a repeatable write whose first attempt may have run.
+    // Guards against reporting "not run" for a repeatable write whose first attempt may have run.
     @Test
     fun `a repeatable write that fails after a lost answer is reported as unknown`() {
-        harness.arrive(write(repeatable = true))
+        harness.sendRequest(write(repeatable = true))
         harness.breakConnection()
         expectThat(harness.lastCommand).isA<SessionCommand.Execute>()
         harness.answer(SessionAnswer.Rejected(status(), "no such table"))
@@ -230,44 +230,44 @@
         expectThat(harness.refusals).containsExactly(ErrorKind.OUTCOME_UNKNOWN)
     }
 
-    // Guards against a deadline that claims "not run" for a command that was sent.
+    // Guards against reporting "not run" at the deadline for a command that was sent.
     @Test
-    fun `an expired deadline is not run before the command was sent and unknown afterwards`() {
+    fun `an expired request is reported as not run before its command was sent and as unknown afterwards`() {
         harness.views.primary = null
-        harness.arrive(write(), number = 1, deadline = 400)
-        harness.pass(millis = 400)
+        harness.sendRequest(write(), number = 1, deadline = 400)
+        harness.advanceTime(millis = 400)
         harness.views.primary = Fixture.PRIMARY
-        harness.arrive(write(), number = 2, deadline = 400)
-        harness.pass(millis = 400)
-        harness.arrive(write(), number = 3, deadline = 400)
+        harness.sendRequest(write(), number = 2, deadline = 400)
+        harness.advanceTime(millis = 400)
+        harness.sendRequest(write(), number = 3, deadline = 400)
         harness.answer(done(at(11)))
-        harness.pass(millis = 400)
+        harness.advanceTime(millis = 400)
 
         expectThat(harness.refusals)
             .containsExactly(ErrorKind.DEADLINE_EXCEEDED, ErrorKind.OUTCOME_UNKNOWN, ErrorKind.OUTCOME_UNKNOWN)
     }
 
-    // Guards against a request that waits for a connection for ever, and against one that is granted to nobody.
+    // Guards against a request that waits for a connection forever, and against a connection granted to no request.
     @Test
-    fun `a request that gets no connection in time cancels its request for one and is refused`() {
-        harness.poolsAnswer = false
-        harness.arrive(write(), number = 1, deadline = 400)
-        harness.arrive(write(), number = 2)
-        harness.pass(millis = 1_200)
+    fun `a request that gets no connection in time cancels its connection request and is refused`() {
+        harness.poolsRespond = false
+        harness.sendRequest(write(), number = 1, deadline = 400)
+        harness.sendRequest(write(), number = 2)
+        harness.advanceTime(millis = 1_200)
 
         expectThat(harness.refusals).containsExactly(ErrorKind.DEADLINE_EXCEEDED, ErrorKind.OVERLOADED)
         expectThat(harness.signalled<Signal.ConnectionNotWanted>()).hasSize(2)
     }
 
-    // Guards against a refused question about an outcome that reads as "the write did not run".
+    // Guards against a refused outcome query that reads as "the write did not run".
     @Test
-    fun `a question about an outcome is answered from the record or as unknown`() {
+    fun `an outcome query is answered from the record or as unknown`() {
         val question = RequestBody.ResolveOutcome(RequestIdentifier("request-1"))
-        harness.arrive(question, number = 2)
+        harness.sendRequest(question, number = 2)
         harness.answer(done(at(10)).copy(replayed = true))
         harness.views.primary = null
-        harness.arrive(question, number = 3, deadline = 300)
-        harness.pass(millis = 300)
+        harness.sendRequest(question, number = 3, deadline = 300)
+        harness.advanceTime(millis = 300)
 
         expectThat(harness.answers.first()).isA<CallerAnswer.Completed>().get { replayed }.isEqualTo(true)
         expectThat(harness.answers.last()).isA<CallerAnswer.Refused>().get { kind }
