--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/ConnectionRequests.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/ConnectionRequests.kt
@@ -20,13 +20,13 @@
 internal fun StepBuilder.requestConnection(request: PendingRequest, server: ServerName) {
     val attempt = nextAttempt()
     val waitUntil = minOf(request.deadline, now + settings.pool.queueWait)
-    signal(Signal.ConnectionWanted(attempt, server, request.request.caller, waitUntil))
+    signal(Signal.ConnectionRequested(attempt, server, request.request.caller, waitUntil))
     enter(request, RequestPhase.Connecting(attempt, server), waitUntil + POOL_ANSWER_MARGIN)
 }
 
 /** Tells the pools part that the connection of [phase] is no longer needed. */
 internal fun StepBuilder.cancelConnectionRequest(phase: RequestPhase.Connecting) =
-    signal(Signal.ConnectionNotWanted(phase.attempt))
+    signal(Signal.ConnectionRequestCancelled(phase.attempt))
 
 /** Uses a granted connection, or returns it if its request no longer waits for it. */
 internal fun StepBuilder.onConnectionGranted(signal: Signal.ConnectionGranted) {
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/PeerReachability.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/PeerReachability.kt
@@ -3,14 +3,14 @@
 import dev.hibiscusreach.core.model.Millis
 import dev.hibiscusreach.core.model.MonotonicTime
 import dev.hibiscusreach.core.model.NodeIdentity
-import dev.hibiscusreach.core.model.inSeconds
+import dev.hibiscusreach.core.model.seconds
 import kotlinx.collections.immutable.toPersistentMap
 
 /**
  * Time for which no new request is forwarded to a peer that was found unreachable. Membership takes 2 s or more to
  * report a peer as gone.
  */
-private val UNREACHABLE_PEER_PAUSE: Millis = 1.inSeconds
+private val UNREACHABLE_PEER_PAUSE: Millis = 1.seconds
 
 /** Whether [request] may be forwarded to [peer] and the peer was not found unreachable recently. */
 internal fun StepBuilder.canForward(request: PendingRequest, peer: NodeIdentity): Boolean =
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/RequestsPart.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/RequestsPart.kt
@@ -6,13 +6,13 @@
 import dev.hibiscusreach.core.event.PeerMessage
 import dev.hibiscusreach.core.event.Signal
 import dev.hibiscusreach.core.event.TimerKey
-import dev.hibiscusreach.core.reducer.Part
 import dev.hibiscusreach.core.reducer.ProxyState
+import dev.hibiscusreach.core.reducer.ReducerPart
 import dev.hibiscusreach.core.reducer.Step
 import dev.hibiscusreach.core.reducer.StepContext
 
 /** Handles requests from their arrival to their answer, interactive transactions and the graceful shutdown. */
-internal class RequestsPart(private val views: RequestViews = SliceViews) : Part {
+internal class RequestsPart(private val views: RequestViews = SliceViews) : ReducerPart {
     override fun handle(state: ProxyState, event: Event, context: StepContext): Step {
         val builder = StepBuilder(state, context, views)
         when (event) {
@@ -58,11 +58,11 @@
         is Signal.DurabilityNotReached -> onVerificationFailed(signal.attempt)
         is Signal.LeadershipConfirmed -> onLeadershipConfirmed(signal.attempt)
         is Signal.LeadershipNotConfirmed -> onVerificationFailed(signal.attempt)
-        is Signal.GroupObserved -> reconsiderWaiting(signal.database)
+        is Signal.GroupStatusChanged -> reconsiderWaiting(signal.database)
         is Signal.PrimaryChanged -> onPrimaryChanged(signal)
         is Signal.PeerGone -> onPeerLost(signal.node)
         // The other parts handle the signal before this part, so that their effects precede the exit.
-        is Signal.DrainAdvanced -> if (signal.phase == DrainPhase.FINISHED) emit(Effect.Exit)
+        is Signal.DrainPhaseChanged -> if (signal.phase == DrainPhase.FINISHED) emit(Effect.Exit)
         else -> Unit
     }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/Verification.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/Verification.kt
@@ -20,13 +20,18 @@
 
         OutstandingCheck.DURABILITY -> {
             enter(request, phase, due)
-            signal(Signal.DurabilityWanted(phase.attempt, request.database, phase.answer.provingPosition(), due))
+            signal(Signal.DurabilityRequested(phase.attempt, request.database, phase.answer.provingPosition(), due))
         }
 
         OutstandingCheck.LEADERSHIP -> {
             enter(request, phase, due)
             signal(
-                Signal.LeadershipWanted(phase.attempt, request.database, leadershipRequiredSince(request, phase), due),
+                Signal.LeadershipCheckRequested(
+                    phase.attempt,
+                    request.database,
+                    leadershipRequiredSince(request, phase),
+                    due,
+                ),
             )
         }
 
--- a/core/src/main/kotlin/dev/hibiscusreach/core/request/Waiting.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/request/Waiting.kt
@@ -3,14 +3,14 @@
 import dev.hibiscusreach.core.model.DatabaseName
 import dev.hibiscusreach.core.model.ErrorKind
 import dev.hibiscusreach.core.model.Millis
-import dev.hibiscusreach.core.model.inSeconds
 import dev.hibiscusreach.core.model.milliseconds
+import dev.hibiscusreach.core.model.seconds
 
 /**
  * Longest wait for a new primary. With the default settings a failover takes about 3 s: detection 1 s, sightings 0.3 s,
  * the stagger of two proposers 1.4 s and fencing 0.2 s. With a longer wait, requests accumulate during an outage.
  */
-private val MAXIMUM_PRIMARY_WAIT: Millis = 5.inSeconds
+private val MAXIMUM_PRIMARY_WAIT: Millis = 5.seconds
 
 /** Pause before a retry at the same primary, equal to the default period of the health probes. */
 private val SAME_PRIMARY_PAUSE: Millis = 250.milliseconds
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/ServerConnection.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/state/ServerConnection.kt
@@ -6,7 +6,7 @@
 import dev.hibiscusreach.core.model.ServerName
 import dev.hibiscusreach.sessions.event.SessionNumber
 import dev.hibiscusreach.sessions.model.GroupName
-import dev.hibiscusreach.sessions.model.PreparedShape
+import dev.hibiscusreach.sessions.model.PreparedStatement
 import kotlinx.collections.immutable.PersistentList
 import kotlinx.collections.immutable.PersistentMap
 import kotlinx.collections.immutable.PersistentSet
@@ -23,41 +23,42 @@
     /** The session whose statement or transaction holds the connection. */
     val heldBy: SessionNumber? = null,
     val values: PersistentMap<String, String> = persistentMapOf(),
-    val prepared: PersistentSet<PreparedShape> = persistentSetOf(),
-    /** When something was last sent. */
+    val prepared: PersistentSet<PreparedStatement> = persistentSetOf(),
+    /** When a statement was last sent, or the connection was opened. */
     val usedAt: MonotonicTime? = null,
     /** Statements without an answer, oldest first. */
-    val outstanding: PersistentList<Outstanding> = persistentListOf(),
+    val outstanding: PersistentList<OutstandingStatement> = persistentListOf(),
 ) {
-    /** Whether a session can take the connection. */
+    /** Whether the connection is available to any session. */
     val idle: Boolean get() = open && heldBy == null && outstanding.isEmpty()
 }
 
 /** A statement that a server has not answered yet. */
-data class Outstanding(
+data class OutstandingStatement(
     val purpose: Purpose,
     val sentAt: MonotonicTime,
     /** Whether the server was the primary under a valid lease when the statement was sent. */
     val toPrimary: Boolean,
 ) {
-    /** What the statement is for. */
+    /** Why the statement was sent. */
     enum class Purpose { SETUP, BEGIN, CALLER, ROLLBACK, PROBE }
 }
 
-/** What is known of a server from its own answers. */
+/** Health of a server as observed by this proxy. */
 data class ServerHealth(
     val answeredAt: MonotonicTime? = null,
-    /** When the server was first asked something that it has not answered. */
+    /** When a request was first sent after the latest answer; null if all requests since then are answered. */
     val silentSince: MonotonicTime? = null,
-    /** Smoothed duration of its statements. */
+    /** Smoothed duration of its successful statements. */
     val latency: Millis? = null,
     /** No new connection before this time. */
     val connectAfter: MonotonicTime? = null,
+    /** Current backoff after failed connections. */
     val connectPause: Millis? = null,
     /** When its host last refused a connection. */
     val refusedAt: MonotonicTime? = null,
-    /** No reads that need a position before this time. */
+    /** No reads that need a minimum position are sent before this time. */
     val behindUntil: MonotonicTime? = null,
-    /** When it last reported that it does not lead its group. */
+    /** When it last reported that it is not the primary. */
     val notPrimaryAt: MonotonicTime? = null,
 )
