--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/AnsweredStatement.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/AnsweredStatement.kt
@@ -13,9 +13,9 @@
     val pending: PendingStatement,
     val answer: ServerAnswer,
 ) {
-    /** The transaction that the statement belongs to; null if it stands alone. */
+    /** The transaction to which the statement belongs; null outside of a transaction. */
     val running: Transaction.Running? get() = session.running
 
-    /** Whether the statement ends a transaction. */
+    /** Whether the statement commits its transaction. */
     val commits: Boolean get() = pending.commits
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/SessionReplies.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/SessionReplies.kt
@@ -9,12 +9,12 @@
 import dev.hibiscusreach.sessions.state.PendingStatement
 import dev.hibiscusreach.sessions.state.Session
 
-/** Answers callers, and logs each answer with what decided it. */
+/** Answers callers, and logs each answer with the state that led to it. */
 internal object SessionReplies {
-    /** Answers a statement that needed no server. */
-    fun local(turn: Reduction, session: Session, identifier: String, reply: SessionReply) {
+    /** Answers a statement that needed no server. Only refusals are logged. */
+    fun answerLocally(reduction: Reduction, session: Session, identifier: String, reply: SessionReply) {
         if (reply !is SessionReply.Completed) {
-            turn.log(
+            reduction.log(
                 "statement refused",
                 "request" to identifier,
                 "session" to session.number.value,
@@ -22,35 +22,35 @@
                 "outcome" to outcome(reply),
             )
         }
-        turn.count(SessionCounter.STATEMENTS, outcome(reply))
-        turn.emit(SessionEffect.Reply(session.number, reply))
+        reduction.count(SessionCounter.STATEMENTS, outcome(reply))
+        reduction.emit(SessionEffect.Reply(session.number, reply))
     }
 
-    /** Answers the pending statement of [session], which has the state after the answer. */
-    fun pending(turn: Reduction, session: Session, pending: PendingStatement, reply: SessionReply) {
-        turn.put(session.copy(pending = null))
-        val duration = turn.now - pending.arrivedAt
-        logPending(turn, session, pending, reply)
-        turn.count(SessionCounter.STATEMENTS, outcome(reply))
-        turn.emit(SessionEffect.Observe(outcome(reply), duration))
-        turn.emit(SessionEffect.Reply(session.number, reply))
+    /** Answers the pending statement of [session]; [session] is already in its state after the answer. */
+    fun answerPending(reduction: Reduction, session: Session, pending: PendingStatement, reply: SessionReply) {
+        reduction.put(session.copy(pending = null))
+        val duration = reduction.now - pending.arrivedAt
+        logPending(reduction, session, pending, reply)
+        reduction.count(SessionCounter.STATEMENTS, outcome(reply))
+        reduction.emit(SessionEffect.Observe(outcome(reply), duration))
+        reduction.emit(SessionEffect.Reply(session.number, reply))
     }
 
-    /** A refusal of [kind] with the retry advice of its error kind. */
-    fun refusal(turn: Reduction, session: Session, kind: ErrorKind, message: String): SessionReply.Refused {
-        val requests = turn.settings.statements
+    /** A refusal with the retry delay that fits [kind]. */
+    fun refusal(reduction: Reduction, session: Session, kind: ErrorKind, message: String): SessionReply.Refused {
+        val limits = reduction.settings.statements
         val retry =
             when (kind) {
-                ErrorKind.NO_PRIMARY, ErrorKind.SERVER_UNREACHABLE -> requests.noPrimaryRetryAfter
-                else -> requests.overloadRetryAfter.takeIf { kind.advice == RetryAdvice.AFTER_A_PAUSE }
+                ErrorKind.NO_PRIMARY, ErrorKind.SERVER_UNREACHABLE -> limits.noPrimaryRetryAfter
+                else -> limits.overloadRetryAfter.takeIf { kind.advice == RetryAdvice.AFTER_A_PAUSE }
             }
         return SessionReply.Refused(kind, message, session.transaction.status, retry)
     }
 
-    private fun logPending(turn: Reduction, session: Session, pending: PendingStatement, reply: SessionReply) {
-        val group = turn.group(pending.route.group)
-        val connection = ConnectionCheckout.heldBy(pending)?.let { turn.state.connections[it] }
-        turn.log(
+    private fun logPending(reduction: Reduction, session: Session, pending: PendingStatement, reply: SessionReply) {
+        val group = reduction.group(pending.route.group)
+        val connection = ConnectionCheckout.heldBy(pending)?.let { reduction.state.connections[it] }
+        reduction.log(
             if (reply is SessionReply.Completed) "statement served" else "statement not served",
             "request" to pending.identifier,
             "session" to session.number.value,
@@ -60,11 +60,11 @@
             "reason" to (reply as? SessionReply.Refused)?.message,
             "server" to connection?.server,
             "attempts" to pending.attempts,
-            "millis" to (turn.now - pending.arrivedAt).value,
-            "configurationVersion" to turn.state.configuration?.version,
+            "millis" to (reduction.now - pending.arrivedAt).value,
+            "configurationVersion" to reduction.state.configuration?.version,
             "epoch" to group.record?.epoch,
-            "headAgeMillis" to group.heads.lastOrNull()?.let { (turn.now - it.sentAt).value },
-            "leaseAgeMillis" to turn.state.fleet.leaseFrom?.let { (turn.now - it).value },
+            "headAgeMillis" to group.heads.lastOrNull()?.let { (reduction.now - it.sentAt).value },
+            "leaseAgeMillis" to reduction.state.fleet.leaseFrom?.let { (reduction.now - it).value },
             level = LogLevel.INFO,
         )
     }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementCompletion.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementCompletion.kt
@@ -11,68 +11,70 @@
 import dev.hibiscusreach.sessions.state.Session
 import dev.hibiscusreach.sessions.state.Transaction
 
-/** Delivers what a server has carried out, and keeps the session's state up to date. */
+/** Handles statements that a server has completed: updates the session and answers the caller. */
 internal object StatementCompletion {
-    fun completed(turn: Reduction, statement: AnsweredStatement, result: ServerAnswer.Result.Completed) {
-        countRead(turn, statement)
+    /** Answers a completed statement, and releases its connection unless a transaction stays open. */
+    fun complete(reduction: Reduction, statement: AnsweredStatement, result: ServerAnswer.Result.Completed) {
+        countRead(reduction, statement)
         val running = statement.running
         val writes = statement.pending.access == Access.WRITE
         when {
             running == null -> {
-                ServerAnswers.giveBack(turn, statement.connection, statement.answer)
-                deliver(turn, statement, withOwnCommit(statement, writes), result, changed = writes)
+                ServerAnswers.releaseConnection(reduction, statement.connection, statement.answer)
+                reply(reduction, statement, withLastCommit(statement, writes), result, wrote = writes)
             }
             statement.commits -> {
-                ServerAnswers.giveBack(turn, statement.connection, statement.answer)
-                val ended = withOwnCommit(statement, running.wrote).copy(transaction = Transaction.None)
-                deliver(turn, statement, ended, result, changed = running.wrote)
+                ServerAnswers.releaseConnection(reduction, statement.connection, statement.answer)
+                val ended = withLastCommit(statement, running.wrote).copy(transaction = Transaction.None)
+                reply(reduction, statement, ended, result, wrote = running.wrote)
             }
             else -> {
-                val used = running.copy(wrote = running.wrote || writes, usedAt = turn.now)
-                deliver(turn, statement, statement.session.copy(transaction = used), result, changed = false)
+                val updated = running.copy(wrote = running.wrote || writes, usedAt = reduction.now)
+                reply(reduction, statement, statement.session.copy(transaction = updated), result, wrote = false)
             }
         }
     }
 
-    // A commit whose answer comes after the primary may have been replaced may be lost with that primary.
-    private fun deliver(
-        turn: Reduction,
+    // If the primary may have been replaced before the answer arrived, the commit may have been lost with it. The
+    // outcome is then reported as unknown.
+    private fun reply(
+        reduction: Reduction,
         statement: AnsweredStatement,
         session: Session,
         result: ServerAnswer.Result.Completed,
-        changed: Boolean,
+        wrote: Boolean,
     ) {
         val answer = statement.answer
         val reply =
-            if (changed && isDoubtful(turn, statement.pending)) {
+            if (wrote && isOutcomeUnknown(reduction, statement.pending)) {
                 val message = "the primary may have been replaced before it committed"
-                SessionReplies.refusal(turn, session, ErrorKind.OUTCOME_UNKNOWN, message)
+                SessionReplies.refusal(reduction, session, ErrorKind.OUTCOME_UNKNOWN, message)
             } else {
                 SessionReply.Completed(answer.rows, result.proof, session.transaction.status, answer.position)
             }
-        SessionReplies.pending(turn, session, statement.pending, reply)
+        SessionReplies.answerPending(reduction, session, statement.pending, reply)
     }
 
-    private fun isDoubtful(turn: Reduction, pending: PendingStatement): Boolean {
+    private fun isOutcomeUnknown(reduction: Reduction, pending: PendingStatement): Boolean {
         val epoch = (pending.phase as? Phase.Sent)?.epoch ?: 0
-        val fence = turn.group(pending.route.group).fence
+        val fence = reduction.group(pending.route.group).fence
         val fenced = fence != null && fence.settled && fence.epoch > epoch
-        return fenced || !PrimaryStatus.leaseHolds(turn)
+        return fenced || !PrimaryStatus.leaseHolds(reduction)
     }
 
-    private fun withOwnCommit(statement: AnsweredStatement, changed: Boolean): Session {
+    private fun withLastCommit(statement: AnsweredStatement, wrote: Boolean): Session {
         val position = statement.answer.position
-        return if (changed && position != null) {
+        return if (wrote && position != null) {
             statement.session.copy(lastCommit = CommitPosition(statement.connection.group, position))
         } else {
             statement.session
         }
     }
 
-    private fun countRead(turn: Reduction, statement: AnsweredStatement) {
+    private fun countRead(reduction: Reduction, statement: AnsweredStatement) {
         if (statement.pending.access == Access.READ && !statement.commits) {
-            val primary = turn.group(statement.connection.group).record?.primary == statement.connection.server
-            turn.count(SessionCounter.READS, if (primary) "primary" else "replica")
+            val primary = reduction.group(statement.connection.group).record?.primary == statement.connection.server
+            reduction.count(SessionCounter.READS, if (primary) "primary" else "replica")
         }
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementDeadlines.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementDeadlines.kt
@@ -9,95 +9,101 @@
 import dev.hibiscusreach.sessions.state.Session
 import dev.hibiscusreach.sessions.state.Transaction
 
-/** Ends statements and transactions whose time is over, and repeats those whose pause is over. */
+/** Ends statements and transactions that exceed their time limits, and retries statements whose retry is due. */
 internal object StatementDeadlines {
-    fun review(turn: Reduction) {
-        SessionLifecycle.review(turn)
-        for (number in turn.state.active) {
-            val session = turn.session(number) ?: continue
+    /** Checks the time limits of all active sessions, then dispatches waiting statements. */
+    fun enforce(reduction: Reduction) {
+        SessionLifecycle.review(reduction)
+        for (number in reduction.state.active) {
+            val session = reduction.session(number) ?: continue
             val pending = session.pending
-            if (pending == null) reviewIdle(turn, session) else reviewPending(turn, session, pending)
+            if (pending == null) checkIdle(reduction, session) else checkPending(reduction, session, pending)
         }
-        turn.state.waiting.keys
-            .forEach { StatementDispatch.serveWaiting(turn, it) }
+        reduction.state.waiting.keys
+            .forEach { StatementDispatch.serveWaiting(reduction, it) }
     }
 
-    /** Ends a running transaction between two statements; the caller is told at its next statement. */
-    fun endTransaction(turn: Reduction, session: Session, running: Transaction.Running, message: String) {
-        ConnectionCheckout.rollback(turn, running.connection)
-        turn.log("transaction ended", "session" to session.number.value, "reason" to message)
-        turn.put(session.copy(transaction = Transaction.Aborted(ErrorKind.TRANSACTION_ENDED, message)))
+    /** Ends a running transaction between two statements. The caller gets [message] at its next statement. */
+    fun endTransaction(reduction: Reduction, session: Session, running: Transaction.Running, message: String) {
+        ConnectionCheckout.rollback(reduction, running.connection)
+        reduction.log("transaction ended", "session" to session.number.value, "reason" to message)
+        reduction.put(session.copy(transaction = Transaction.Aborted(ErrorKind.TRANSACTION_ENDED, message)))
     }
 
-    private fun reviewIdle(turn: Reduction, session: Session) {
+    private fun checkIdle(reduction: Reduction, session: Session) {
         val running = session.running ?: return
-        val limit = turn.state.configuration?.transactionIdleLimit ?: return
-        if (turn.now - running.usedAt > limit) endTransaction(turn, session, running, "the transaction was idle")
+        val limit = reduction.state.configuration?.transactionIdleLimit ?: return
+        if (reduction.now - running.usedAt > limit) {
+            endTransaction(reduction, session, running, "the transaction was idle for too long")
+        }
     }
 
-    private fun reviewPending(turn: Reduction, session: Session, pending: PendingStatement) {
+    private fun checkPending(reduction: Reduction, session: Session, pending: PendingStatement) {
         when (val phase = pending.phase) {
-            is Phase.Waiting -> reviewWaiting(turn, session, pending)
-            is Phase.Beginning -> reviewSent(turn, session, pending)
-            is Phase.Sent -> reviewSent(turn, session, pending)
+            is Phase.Waiting -> checkWaiting(reduction, session, pending)
+            is Phase.Beginning -> checkSent(reduction, session, pending)
+            is Phase.Sent -> checkSent(reduction, session, pending)
             is Phase.AwaitingRetry -> {
                 val running = session.running
-                if (running != null && turn.now >= phase.at) {
-                    StatementSending.inTransaction(turn, session, pending, running)
+                if (running != null && reduction.now >= phase.at) {
+                    StatementSending.sendInTransaction(reduction, session, pending, running)
                 }
             }
         }
     }
 
-    private fun reviewWaiting(turn: Reduction, session: Session, pending: PendingStatement) {
-        val group = turn.group(pending.route.group)
-        if (turn.now < pending.waitsUntil(turn, PrimaryStatus.changing(group))) return
+    private fun checkWaiting(reduction: Reduction, session: Session, pending: PendingStatement) {
+        val group = reduction.group(pending.route.group)
+        if (reduction.now < pending.waitDeadline(reduction, PrimaryStatus.changing(group))) return
         val needsPrimary = ServerSelection.needsPrimary(session, pending)
         val (kind, message) =
             when {
-                needsPrimary && PrimaryStatus.usable(turn, group) == null ->
-                    ErrorKind.NO_PRIMARY to "no primary came into office in time"
-                !needsPrimary && PrimaryStatus.minimumPosition(turn, session, pending) == null ->
+                needsPrimary && PrimaryStatus.usable(reduction, group) == null ->
+                    ErrorKind.NO_PRIMARY to "no primary became available in time"
+                !needsPrimary && PrimaryStatus.minimumPosition(reduction, session, pending) == null ->
                     ErrorKind.READ_TOO_OLD to "no server is known to be fresh enough"
                 else -> ErrorKind.OVERLOADED to "no connection became free in time"
             }
-        StatementFailures.refuse(turn, session, pending, kind, message)
+        StatementFailures.refuse(reduction, session, pending, kind, message)
     }
 
-    private fun reviewSent(turn: Reduction, session: Session, pending: PendingStatement) {
-        val connection = ConnectionCheckout.heldBy(pending)?.let { turn.state.connections[it] } ?: return
-        val expired = turn.now - pending.arrivedAt > pending.route.statementTimeout
+    private fun checkSent(reduction: Reduction, session: Session, pending: PendingStatement) {
+        val connection = ConnectionCheckout.heldBy(pending)?.let { reduction.state.connections[it] } ?: return
+        val expired = reduction.now - pending.arrivedAt > pending.route.statementTimeout
         when {
-            expired -> expire(turn, session, pending, connection.server)
-            StatementFailures.isRead(session, pending) && isSilent(turn, connection.server, pending) ->
-                ServerConnectionEvents.closeBroken(turn, connection)
+            expired -> expire(reduction, session, pending, connection.server)
+            StatementFailures.isIdempotent(session, pending) && isSilent(reduction, connection.server, pending) ->
+                ServerConnectionEvents.closeBroken(reduction, connection)
         }
     }
 
-    // A server that was silent before the statement was sent gets the whole time for it.
-    private fun isSilent(turn: Reduction, server: ServerName, pending: PendingStatement): Boolean {
+    // A server that was already silent when the statement was sent still gets the full silence timeout.
+    private fun isSilent(reduction: Reduction, server: ServerName, pending: PendingStatement): Boolean {
         val sentAt = (pending.phase as? Phase.Sent)?.sentAt ?: return false
-        return ServerHealthTracking.isSilent(turn, server) &&
-            turn.now - sentAt > turn.settings.statements.silenceTimeout
+        return ServerHealthTracking.isSilent(reduction, server) &&
+            reduction.now - sentAt > reduction.settings.statements.silenceTimeout
     }
 
-    private fun expire(turn: Reduction, session: Session, pending: PendingStatement, server: ServerName) {
+    private fun expire(reduction: Reduction, session: Session, pending: PendingStatement, server: ServerName) {
         val running = session.running
         val commits = pending.commits
-        val changes = if (commits) running?.wrote ?: false else running == null && pending.access == Access.WRITE
+        val writes = if (commits) running?.wrote ?: false else running == null && pending.access == Access.WRITE
         val began = pending.phase !is Phase.Beginning
-        val kind = if (changes && began) ErrorKind.OUTCOME_UNKNOWN else ErrorKind.DEADLINE_EXCEEDED
-        turn.log("statement timed out", "request" to pending.identifier, "server" to server)
-        ConnectionCheckout.heldBy(pending)?.let { turn.state.connections[it] }?.let { ConnectionPools.close(turn, it) }
+        val kind = if (writes && began) ErrorKind.OUTCOME_UNKNOWN else ErrorKind.DEADLINE_EXCEEDED
+        reduction.log("statement timed out", "request" to pending.identifier, "server" to server)
+        ConnectionCheckout
+            .heldBy(pending)
+            ?.let { reduction.state.connections[it] }
+            ?.let { ConnectionPools.close(reduction, it) }
         val inTransaction = session.transaction !is Transaction.None
         val ended = if (inTransaction && !commits) Transaction.Failed else Transaction.None
         val next = session.copy(transaction = ended)
-        val reply = SessionReplies.refusal(turn, next, kind, "server $server did not answer in time")
-        SessionReplies.pending(turn, next, pending, reply)
+        val reply = SessionReplies.refusal(reduction, next, kind, "server $server did not answer in time")
+        SessionReplies.answerPending(reduction, next, pending, reply)
     }
 }
 
-/** The sessions whose statement or transaction is at [server]. */
+/** The active sessions whose transaction or pending statement uses a connection of [group] to [server]. */
 internal fun Reduction.sessionsAt(group: GroupName, server: ServerName): List<Session> =
     state.active.mapNotNull { session(it) }.filter { session ->
         val running = session.running?.connection
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementDispatch.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementDispatch.kt
@@ -12,77 +12,86 @@
 import dev.hibiscusreach.sessions.state.Transaction
 import kotlinx.collections.immutable.persistentListOf
 
-/** Brings statements to server connections. */
+/** Assigns statements to server connections, and queues those for which no connection is idle. */
 internal object StatementDispatch {
-    /** Starts a statement that has just arrived. */
-    fun start(turn: Reduction, session: Session, pending: PendingStatement) {
+    /** Sends a statement that has just arrived on the connection of its transaction or on an idle one, or queues it. */
+    fun start(reduction: Reduction, session: Session, pending: PendingStatement) {
         val running = session.running
         when {
-            running != null -> StatementSending.inTransaction(turn, session, pending, running)
-            !assign(turn, session, pending) -> enqueue(turn, session, pending)
+            running != null -> StatementSending.sendInTransaction(reduction, session, pending, running)
+            !assign(reduction, session, pending) -> enqueue(reduction, session, pending)
         }
     }
 
-    /** Puts a statement back into the queue, not before [pause] from now if one is given. */
-    fun requeue(turn: Reduction, session: Session, pending: PendingStatement, pause: Millis? = null) {
-        val waiting = pending.copy(phase = Phase.Waiting(pause?.let { turn.now + it }))
+    /** Sends a statement again or puts it back into the queue. With [pause] it is not sent before the pause ends. */
+    fun requeue(reduction: Reduction, session: Session, pending: PendingStatement, pause: Millis? = null) {
+        val waiting = pending.copy(phase = Phase.Waiting(pause?.let { reduction.now + it }))
         val next = session.copy(pending = waiting)
-        turn.put(next)
-        if (pause != null || !assign(turn, next, waiting)) enqueue(turn, next, waiting)
+        reduction.put(next)
+        if (pause != null || !assign(reduction, next, waiting)) enqueue(reduction, next, waiting)
     }
 
-    /** Gives free connections of a group to waiting statements. */
-    fun serveWaiting(turn: Reduction, group: GroupName) {
-        for (number in turn.state.waiting[group].orEmpty().sortedBy { rank(turn, it) }) {
-            val session = turn.session(number)
+    /** Assigns idle connections of a group to waiting statements. */
+    fun serveWaiting(reduction: Reduction, group: GroupName) {
+        for (number in reduction.state.waiting[group].orEmpty().sortedBy { dispatchOrder(reduction, it) }) {
+            val session = reduction.session(number)
             val pending = session?.pending
             if (pending == null || pending.phase !is Phase.Waiting) {
-                turn.stopWaiting(group, number)
-            } else if (assign(turn, session, pending)) {
-                turn.stopWaiting(group, number)
+                reduction.stopWaiting(group, number)
+            } else if (assign(reduction, session, pending)) {
+                reduction.stopWaiting(group, number)
             }
         }
     }
 
-    // A statement with a higher priority goes first, then the one whose objective ends first.
-    private fun rank(turn: Reduction, number: SessionNumber): Long {
-        val pending = turn.session(number)?.pending ?: return 0
-        val due = pending.arrivedAt.millis + pending.route.latencyObjective.value
-        return due + pending.route.priority * PRIORITY_STEP_MILLIS
+    // Sort key, smallest first: the latency deadline, moved back by a fixed time per priority step. A smaller number is
+    // a higher priority.
+    private fun dispatchOrder(reduction: Reduction, number: SessionNumber): Long {
+        val pending = reduction.session(number)?.pending ?: return 0
+        val deadline = pending.arrivedAt.millis + pending.route.latencyObjective.value
+        return deadline + pending.route.priority * PRIORITY_STEP_MILLIS
     }
 
-    private fun assign(turn: Reduction, session: Session, pending: PendingStatement): Boolean {
+    private fun assign(reduction: Reduction, session: Session, pending: PendingStatement): Boolean {
         val notBefore = (pending.phase as? Phase.Waiting)?.notBefore
-        val pausing = notBefore != null && turn.now < notBefore
-        val candidates = if (pausing) emptyList() else ServerSelection.candidates(turn, session, pending)
-        openFor(turn, pending, candidates)
-        val choice = candidates.firstNotNullOfOrNull { choose(turn, session, it) } ?: return false
-        hand(turn, session, pending, ConnectionCheckout.hold(turn, choice.first, session.number), choice.second)
+        val isPaused = notBefore != null && reduction.now < notBefore
+        val candidates = if (isPaused) emptyList() else ServerSelection.candidates(reduction, session, pending)
+        openConnection(reduction, pending, candidates)
+        val chosen = candidates.firstNotNullOfOrNull { chooseConnection(reduction, session, it) } ?: return false
+        sendOn(
+            reduction,
+            session,
+            pending,
+            ConnectionCheckout.hold(reduction, chosen.first, session.number),
+            chosen.second,
+        )
         return true
     }
 
-    // Opens as many connections as statements wait, at the best server that can take one more.
-    private fun openFor(turn: Reduction, pending: PendingStatement, candidates: List<ServerCandidate>) {
-        val waiting = turn.state.waiting[pending.route.group]?.size ?: 0
-        val pools = candidates.map { ConnectionPools.connections(turn, it.server.name) }
+    // Opens a connection at the best server that can take one more, unless the best server has an idle connection or
+    // more connections are being opened than statements wait.
+    private fun openConnection(reduction: Reduction, pending: PendingStatement, candidates: List<ServerCandidate>) {
+        val waiting = reduction.state.waiting[pending.route.group]?.size ?: 0
+        val pools = candidates.map { ConnectionPools.connections(reduction, it.server.name) }
         if (pools.firstOrNull().orEmpty().any { it.idle }) return
         val opening = pools.sumOf { pool -> pool.count { !it.open } }
-        if (opening <= waiting) candidates.firstOrNull { ConnectionPools.open(turn, it.server) }
+        if (opening <= waiting) candidates.firstOrNull { ConnectionPools.open(reduction, it.server) }
     }
 
-    // A connection that has the session's values already needs no statements to set them.
-    private fun choose(
-        turn: Reduction,
+    // Prefers a connection that already has the session's values, since it needs no setup statements; otherwise the
+    // one used most recently.
+    private fun chooseConnection(
+        reduction: Reduction,
         session: Session,
         candidate: ServerCandidate,
     ): Pair<ServerConnection, ServerCandidate>? {
-        val idle = ConnectionPools.connections(turn, candidate.server.name).filter { it.idle }
+        val idle = ConnectionPools.connections(reduction, candidate.server.name).filter { it.idle }
         val connection = idle.find { it.values == session.values } ?: idle.maxByOrNull { it.usedAt?.millis ?: 0 }
         return connection?.let { it to candidate }
     }
 
-    private fun hand(
-        turn: Reduction,
+    private fun sendOn(
+        reduction: Reduction,
         session: Session,
         pending: PendingStatement,
         connection: ServerConnection,
@@ -90,28 +99,31 @@
     ) {
         val begun = session.transaction as? Transaction.Begun
         if (begun == null) {
-            StatementSending.statement(turn, session, pending, connection, candidate.minimumPosition)
+            StatementSending.send(reduction, session, pending, connection, candidate.minimumPosition)
         } else {
             val (prepared, setup) = SessionSetup.statements(connection, session, statement = null)
             val begin = ServerStatement.Begin(begun.readOnly, candidate.minimumPosition)
-            turn.put(session.copy(pending = pending.copy(phase = Phase.Beginning(connection.number, turn.now))))
-            ConnectionCheckout.send(turn, prepared, setup.map { Purpose.SETUP to it } + (Purpose.BEGIN to begin))
+            reduction.put(
+                session.copy(pending = pending.copy(phase = Phase.Beginning(connection.number, reduction.now))),
+            )
+            ConnectionCheckout.send(reduction, prepared, setup.map { Purpose.SETUP to it } + (Purpose.BEGIN to begin))
         }
     }
 
-    private fun enqueue(turn: Reduction, session: Session, pending: PendingStatement) {
+    private fun enqueue(reduction: Reduction, session: Session, pending: PendingStatement) {
         val group = pending.route.group
-        val reason = AdmissionControl.reason(turn, session, pending)
+        val reason = AdmissionControl.refusalReason(reduction, session, pending)
         if (reason != null) {
-            StatementFailures.refuse(turn, session, pending, reason.first, reason.second)
+            StatementFailures.refuse(reduction, session, pending, reason.first, reason.second)
         } else {
-            val queue = turn.state.waiting[group] ?: persistentListOf()
+            val queue = reduction.state.waiting[group] ?: persistentListOf()
             if (session.number !in queue) {
-                turn.state = turn.state.copy(waiting = turn.state.waiting.put(group, queue.add(session.number)))
+                reduction.state =
+                    reduction.state.copy(waiting = reduction.state.waiting.put(group, queue.add(session.number)))
             }
         }
     }
 
-    /** A step of priority counts as much as this much time until the objective. */
+    /** Time by which one priority step moves the latency deadline back, in milliseconds. */
     private const val PRIORITY_STEP_MILLIS = 200L
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementSending.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementSending.kt
@@ -11,40 +11,49 @@
 import dev.hibiscusreach.sessions.state.Session
 import dev.hibiscusreach.sessions.state.Transaction
 
-/** Sends callers' statements on connections that their sessions hold. */
+/** Sends statements of callers on the server connections that their sessions hold. */
 internal object StatementSending {
-    /** Sends a statement on the connection of its transaction. */
-    fun inTransaction(turn: Reduction, session: Session, pending: PendingStatement, running: Transaction.Running) {
-        val connection = turn.state.connections[running.connection]
+    /** Sends a statement on the connection of its transaction, or aborts the transaction if that is not possible. */
+    fun sendInTransaction(
+        reduction: Reduction,
+        session: Session,
+        pending: PendingStatement,
+        running: Transaction.Running,
+    ) {
+        val connection = reduction.state.connections[running.connection]
         val commits = pending.commits && running.wrote
         when {
             connection == null -> {
                 val message = "the transaction's server connection was lost"
-                abort(turn, session, pending, message)
+                abort(reduction, session, pending, message)
             }
-            commits && !mayCommit(turn, connection) -> {
-                ConnectionCheckout.rollback(turn, connection.number)
-                abort(turn, session, pending, "the transaction's server is not the primary any more")
+            commits && !mayCommit(reduction, connection) -> {
+                ConnectionCheckout.rollback(reduction, connection.number)
+                abort(reduction, session, pending, "the transaction's server is no longer the primary")
             }
-            // The position was checked when the transaction began.
-            else -> statement(turn, session, pending, connection, minimumPosition = null)
+            // The minimum position was checked when the transaction began.
+            else -> send(reduction, session, pending, connection, minimumPosition = null)
         }
     }
 
-    /** Sends the statement itself on a connection that the session holds. */
-    fun statement(
-        turn: Reduction,
+    /** Sends a statement on [connection], after the statements that set up the session on it. */
+    fun send(
+        reduction: Reduction,
         session: Session,
         pending: PendingStatement,
         connection: ServerConnection,
         minimumPosition: Position?,
     ) {
-        val text = serverStatement(session, pending, minimumPosition)
-        val (prepared, setup) = SessionSetup.statements(connection, session, text)
-        val epoch = turn.group(connection.group).record?.epoch ?: 0
-        val sent = pending.copy(phase = Phase.Sent(connection.number, turn.now, epoch), attempts = pending.attempts + 1)
-        turn.put(session.copy(pending = sent))
-        ConnectionCheckout.send(turn, prepared, setup.map { Purpose.SETUP to it } + (Purpose.CALLER to text))
+        val toSend = serverStatement(session, pending, minimumPosition)
+        val (prepared, setup) = SessionSetup.statements(connection, session, toSend)
+        val epoch = reduction.group(connection.group).record?.epoch ?: 0
+        val sent =
+            pending.copy(
+                phase = Phase.Sent(connection.number, reduction.now, epoch),
+                attempts = pending.attempts + 1,
+            )
+        reduction.put(session.copy(pending = sent))
+        ConnectionCheckout.send(reduction, prepared, setup.map { Purpose.SETUP to it } + (Purpose.CALLER to toSend))
     }
 
     private fun serverStatement(
@@ -64,12 +73,13 @@
             else -> ServerStatement.Commit(pending.identifier)
         }
 
-    private fun mayCommit(turn: Reduction, connection: ServerConnection): Boolean =
-        PrimaryStatus.usable(turn, turn.group(connection.group), turn.settings.leases.writeMargin) == connection.server
+    private fun mayCommit(reduction: Reduction, connection: ServerConnection): Boolean =
+        PrimaryStatus.usable(reduction, reduction.group(connection.group), reduction.settings.leases.writeMargin) ==
+            connection.server
 
-    private fun abort(turn: Reduction, session: Session, pending: PendingStatement, message: String) {
+    private fun abort(reduction: Reduction, session: Session, pending: PendingStatement, message: String) {
         val next = session.copy(transaction = pending.transactionAfterFailure)
-        val reply = SessionReplies.refusal(turn, next, ErrorKind.TRANSACTION_ENDED, message)
-        SessionReplies.pending(turn, next, pending, reply)
+        val reply = SessionReplies.refusal(reduction, next, ErrorKind.TRANSACTION_ENDED, message)
+        SessionReplies.answerPending(reduction, next, pending, reply)
     }
 }
--- a/sessions/src/test/kotlin/dev/hibiscusreach/sessions/SessionStatementTest.kt
+++ b/sessions/src/test/kotlin/dev/hibiscusreach/sessions/SessionStatementTest.kt
@@ -28,13 +28,13 @@
 class SessionStatementTest {
     private val proxy = ProxyFixture().ready()
 
-    private fun sent(): List<ServerStatement> =
+    private fun sentStatements(): List<ServerStatement> =
         proxy.take().filterIsInstance<SessionEffect.SendStatements>().flatMap { it.statements }
 
-    private fun refusal(session: SessionNumber): ErrorKind? = (proxy.reply(session) as? SessionReply.Refused)?.kind
+    private fun refusalKind(session: SessionNumber): ErrorKind? = (proxy.reply(session) as? SessionReply.Refused)?.kind
 
-    /** Opens a transaction at the primary with one statement that has been answered. */
-    private fun transaction(statement: CallerStatement): SessionNumber {
+    /** Opens a transaction at the primary and completes [statement] as its first statement. */
+    private fun openTransaction(statement: CallerStatement): SessionNumber {
         val session = proxy.session(1, SIGN_OFFS)
         proxy.send(session, CallerStatement.Begin(readOnly = false))
         proxy.send(session, statement)
@@ -43,7 +43,7 @@
     }
 
     @Test
-    fun `a write runs at the primary and its answer carries the server's proof`() {
+    fun `a write runs at the primary and its answer carries the server's proof - guards against a misrouted write`() {
         val session = proxy.session(1)
         proxy.send(session, WRITE)
         proxy.complete(proxy.busyAt(PRIMARY))
@@ -57,7 +57,7 @@
         proxy.complete(proxy.busyAt(PRIMARY), index = 12)
         proxy.take()
         proxy.send(session, READ)
-        val read = sent().filterIsInstance<ServerStatement.Run>().single()
+        val read = sentStatements().filterIsInstance<ServerStatement.Run>().single()
         expectThat(read.minimumPosition.toString()).isEqualTo("1.12")
     }
 
@@ -68,16 +68,16 @@
         val session = proxy.session(1, STATUS)
         proxy.send(session, READ)
         proxy.pass(1_500, groups = false)
-        expectThat(refusal(session)).isEqualTo(ErrorKind.READ_TOO_OLD)
+        expectThat(refusalKind(session)).isEqualTo(ErrorKind.READ_TOO_OLD)
     }
 
     @Test
-    fun `no read of the newest data runs after the lease has ended - guards against a replaced primary`() {
+    fun `no read at the primary runs after the lease has expired - guards against reads at a replaced primary`() {
         proxy.feed(SessionEvent.FleetReadFailed("down"))
         proxy.now += 10_001
         val session = proxy.session(1, SIGN_OFFS)
         proxy.send(session, READ)
-        expectThat(refusal(session)).isEqualTo(ErrorKind.NO_PRIMARY)
+        expectThat(refusalKind(session)).isEqualTo(ErrorKind.NO_PRIMARY)
         expectThat(proxy.busyAt(PRIMARY)).isNull()
     }
 
@@ -87,21 +87,21 @@
         proxy.send(session, WRITE)
         val connection = checkNotNull(proxy.busyAt(PRIMARY))
         proxy.feed(SessionEvent.ConnectionLost(connection, ConnectionFailure.BROKEN))
-        expectThat(refusal(session)).isEqualTo(ErrorKind.OUTCOME_UNKNOWN)
+        expectThat(refusalKind(session)).isEqualTo(ErrorKind.OUTCOME_UNKNOWN)
     }
 
     @Test
-    fun `a transaction whose connection is lost before its commit is refused as not run`() {
-        val session = transaction(WRITE)
+    fun `a transaction that loses its connection before its commit is refused - guards against a false success`() {
+        val session = openTransaction(WRITE)
         val connection = proxy.state.connections.values.single { it.heldBy == session }
         proxy.feed(SessionEvent.ConnectionLost(connection.number, ConnectionFailure.BROKEN))
         proxy.send(session, CallerStatement.Commit)
-        expectThat(refusal(session)).isEqualTo(ErrorKind.TRANSACTION_ENDED)
+        expectThat(refusalKind(session)).isEqualTo(ErrorKind.TRANSACTION_ENDED)
         expectThat(proxy.reply(session)?.status).isEqualTo(TransactionStatus.NONE)
     }
 
     @Test
-    fun `values of another session are cleared from a connection - guards against mixed sessions`() {
+    fun `values of another session are cleared from a connection - guards against values leaking between sessions`() {
         val first = proxy.session(1, SIGN_OFFS)
         proxy.send(first, CallerStatement.SetValue("site", "west"))
         proxy.send(first, READ)
@@ -110,13 +110,13 @@
         val second = proxy.session(2, SIGN_OFFS)
         proxy.send(second, CallerStatement.Prepare("s1", PreparedStatement(Access.READ, "q1")))
         proxy.send(second, CallerStatement.Execute("s1", "a"))
-        expectThat(sent())
+        expectThat(sentStatements())
             .contains(ServerStatement.Reset)
             .contains(ServerStatement.Prepare(PreparedStatement(Access.READ, "q1")))
     }
 
     @Test
-    fun `a replica that lacks the position passes the read on to another server`() {
+    fun `a read that fails at a replica that is behind is retried elsewhere - guards against an avoidable failure`() {
         val session = proxy.session(1, STATUS)
         proxy.send(session, READ)
         proxy.fail(proxy.busyAt(NEAR_REPLICA), ServerFailure.BEHIND)
@@ -126,22 +126,22 @@
     }
 
     @Test
-    fun `a session that leaves within a transaction gives its connection back after a rollback`() {
-        val session = transaction(READ)
+    fun `a session that ends within a transaction releases its connection after a rollback - guards against a leak`() {
+        val session = openTransaction(READ)
         val connection = proxy.state.connections.values.single { it.heldBy == session }
         proxy.take()
         proxy.feed(SessionEvent.SessionEnded(session))
-        expectThat(sent()).contains(ServerStatement.Rollback)
+        expectThat(sentStatements()).contains(ServerStatement.Rollback)
         proxy.complete(connection.number)
         expectThat(proxy.state.connections.getValue(connection.number).idle).isEqualTo(true)
     }
 
     @Test
-    fun `an idle transaction is ended and its caller is told at the next statement`() {
-        val session = transaction(READ)
+    fun `an idle transaction is ended and the next statement is refused - guards against a connection held forever`() {
+        val session = openTransaction(READ)
         proxy.pass(3_100, groups = false)
         proxy.send(session, READ)
-        expectThat(refusal(session)).isEqualTo(ErrorKind.TRANSACTION_ENDED)
+        expectThat(refusalKind(session)).isEqualTo(ErrorKind.TRANSACTION_ENDED)
         expectThat(proxy.reply(session)?.status).isEqualTo(TransactionStatus.FAILED)
     }
 }
