--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ChangePublication.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ChangePublication.kt
@@ -11,40 +11,41 @@
 import dev.hibiscusreach.sessions.state.GroupView
 import dev.hibiscusreach.sessions.state.PrimaryChange
 
-/** Publishes the outcome of a change of primary. */
+/** Writes the outcome of a change of primary to the store and informs the servers. */
 internal object ChangePublication {
-    /** Publishes [primary] as the group's primary in [term]. */
-    fun publish(turn: Reduction, group: GroupView, change: PrimaryChange, primary: ServerName, term: Term) {
+    /** Records [primary] as the group's primary in [term]. If it is another server, the old primary steps down. */
+    fun publish(reduction: Reduction, group: GroupView, change: PrimaryChange, primary: ServerName, term: Term) {
         val record = group.record ?: return
         val published = FleetRecord.Group(record.group, record.epoch, term, primary)
-        if (record.primary != primary) stepDown(turn, record.primary, term)
-        if (SuccessorChoice.pausesReplicas(turn, group, change)) resumeReplicas(turn, group, primary)
-        val next = PrimaryChanges.enter(turn, group, change.copy(published = published), ChangePhase.PUBLISHING)
-        next.change?.let { publishAgain(turn, next, it) }
+        if (record.primary != primary) requestStepDown(reduction, record.primary, term)
+        if (SuccessorChoice.pausesReplicas(reduction, group, change)) resumeReplicas(reduction, group, primary)
+        val next =
+            PrimaryChanges.enterPhase(reduction, group, change.copy(published = published), ChangePhase.PUBLISHING)
+        next.change?.let { writeRecord(reduction, next, it) }
     }
 
-    /** Writes the record, again if an earlier write was not answered. */
-    fun publishAgain(turn: Reduction, group: GroupView, change: PrimaryChange) {
+    /** Writes the group's new record; repeated while the write is not answered. */
+    fun writeRecord(reduction: Reduction, group: GroupView, change: PrimaryChange) {
         val record = change.published ?: return
-        turn.put(group.copy(change = change.copy(requestsSentAt = turn.now)))
-        turn.emit(SessionEffect.WriteFleet(FleetKey.group(group.name), record, group.revision))
+        reduction.put(group.copy(change = change.copy(requestsSentAt = reduction.now)))
+        reduction.emit(SessionEffect.WriteFleet(FleetKey.group(group.name), record, group.revision))
     }
 
-    private fun resumeReplicas(turn: Reduction, group: GroupView, primary: ServerName) =
-        turn
+    private fun resumeReplicas(reduction: Reduction, group: GroupView, primary: ServerName) =
+        reduction
             .servers(group.name)
             .filter { it.name != primary }
-            .forEach { turn.emit(SessionEffect.SendControl(it, ControlRequest.Resume)) }
+            .forEach { reduction.emit(SessionEffect.SendControl(it, ControlRequest.Resume)) }
 
-    private fun stepDown(turn: Reduction, primary: ServerName, term: Term) {
-        val server = turn.state.server(primary) ?: return
-        turn.emit(SessionEffect.SendControl(server, ControlRequest.StepDown(term.number)))
+    private fun requestStepDown(reduction: Reduction, primary: ServerName, term: Term) {
+        val server = reduction.state.server(primary) ?: return
+        reduction.emit(SessionEffect.SendControl(server, ControlRequest.StepDown(term.number)))
     }
 
-    /** Leaves the primary in office. */
-    fun keep(turn: Reduction, group: GroupView, change: PrimaryChange, incumbent: ServerStatus) {
+    /** Ends the change and keeps the current primary. */
+    fun keepPrimary(reduction: Reduction, group: GroupView, change: PrimaryChange, incumbent: ServerStatus) {
         val primary = group.record?.primary ?: return
-        turn.log("primary keeps its office", "group" to group.name, "primary" to primary)
-        publish(turn, group, change, primary, incumbent.term)
+        reduction.log("primary kept", "group" to group.name, "primary" to primary)
+        publish(reduction, group, change, primary, incumbent.term)
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ChangeTakeover.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ChangeTakeover.kt
@@ -12,48 +12,48 @@
 import dev.hibiscusreach.sessions.state.ChangeReason
 import dev.hibiscusreach.sessions.state.GroupView
 
-/** Watches changes that other proxies carry out, and continues those that they have left. */
+/** Monitors changes of primary by other proxies and takes over those that make no progress. */
 internal object ChangeTakeover {
-    /** Asks the proxy that changes the primary whether it goes on, and takes the change over if it does not. */
-    fun review(turn: Reduction, group: GroupView) {
-        val changes = turn.settings.changes
-        val rank = ProxyRanking.own(turn, group.name) ?: return
-        val changer = changer(turn, group)
-        val adoptedAt = group.adoptedAt ?: turn.now
+    /** Pings the proxy that replaces the primary, and takes the change over after the timeout. */
+    fun checkProgress(reduction: Reduction, group: GroupView) {
+        val changes = reduction.settings.changes
+        val rank = ProxyRanking.own(reduction, group.name) ?: return
+        val changer = changerEndpoint(reduction, group)
+        val adoptedAt = group.adoptedAt ?: reduction.now
         val seenAt = group.changerSeenAt?.takeIf { changer != null && it > adoptedAt } ?: adoptedAt
         val askedAt = group.changerAskedAt?.takeIf { it > adoptedAt } ?: adoptedAt
-        val patience = if (changer == null) Millis(0) else changes.takeoverTimeout
+        val timeout = if (changer == null) Millis(0) else changes.takeoverTimeout
         when {
-            turn.state.fleet.storeLost || turn.state.stoppingSince != null -> Unit
-            turn.now - seenAt > patience + changes.rankDelay * rank ->
-                PrimaryChanges.begin(turn, group.name, ChangeReason.ABANDONED)
-            turn.now - askedAt > changes.takeoverCheckDelay -> {
-                turn.put(group.copy(changerAskedAt = turn.now))
-                changer?.let { turn.emit(SessionEffect.AskPeer(it, PeerRequest.Ping)) }
-                LeaseRenewal.read(turn)
+            reduction.state.fleet.storeLost || reduction.state.stoppingSince != null -> Unit
+            reduction.now - seenAt > timeout + changes.rankDelay * rank ->
+                PrimaryChanges.begin(reduction, group.name, ChangeReason.ABANDONED)
+            reduction.now - askedAt > changes.takeoverCheckDelay -> {
+                reduction.put(group.copy(changerAskedAt = reduction.now))
+                changer?.let { reduction.emit(SessionEffect.AskPeer(it, PeerRequest.Ping)) }
+                LeaseRenewal.read(reduction)
             }
         }
     }
 
-    /** Handles the answer to the question whether the proxy that changes a primary goes on. */
-    fun changerAnswered(turn: Reduction, event: SessionEvent.PeerAnswered) {
-        turn.state.groups.values
-            .filter { it.change == null && changer(turn, it) == event.peer }
+    /** Handles the answer to a ping of the proxy that replaces a primary. */
+    fun handleChangerAnswer(reduction: Reduction, event: SessionEvent.PeerAnswered) {
+        reduction.state.groups.values
+            .filter { it.change == null && changerEndpoint(reduction, it) == event.peer }
             .forEach { group ->
                 when (val outcome = event.outcome) {
-                    PeerOutcome.NotRunning -> PrimaryChanges.begin(turn, group.name, ChangeReason.ABANDONED)
+                    PeerOutcome.NotRunning -> PrimaryChanges.begin(reduction, group.name, ChangeReason.ABANDONED)
                     PeerOutcome.Silent -> Unit
                     is PeerOutcome.Answered ->
-                        if (outcome.answer is PeerAnswer.Done) turn.put(group.copy(changerSeenAt = turn.now))
+                        if (outcome.answer is PeerAnswer.Done) reduction.put(group.copy(changerSeenAt = reduction.now))
                 }
             }
     }
 
-    // Null once the run that began the change has ended: a later run on the same host answers at the same endpoint, but
-    // knows nothing of the change.
-    private fun changer(turn: Reduction, group: GroupView): Endpoint? =
+    // Null if the process that began the change is no longer registered. A restarted proxy answers at the same endpoint
+    // but does not know the change.
+    private fun changerEndpoint(reduction: Reduction, group: GroupView): Endpoint? =
         group.record?.changedBy?.let { changer ->
-            val registered = turn.state.fleet.records[FleetKey.proxy(changer.node)]?.record as? FleetRecord.Proxy
+            val registered = reduction.state.fleet.records[FleetKey.proxy(changer.node)]?.record as? FleetRecord.Proxy
             registered?.takeIf { it.identity == changer }?.peerEndpoint
         }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/DepartedReplicas.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/DepartedReplicas.kt
@@ -6,36 +6,39 @@
 import dev.hibiscusreach.sessions.state.HeadSample
 
 /**
- * Remembers replicas that have left. Where commits wait for replicas, one that has left may have been the only one to
- * receive a commit, until another replica has received what the primary's log held afterwards.
+ * Tracks replicas that have been removed. With synchronous replication, a removed replica may be the only one that has
+ * received a commit, until another replica has received the primary's log up to a later position.
  */
 internal object DepartedReplicas {
-    /** Notes that the entry of [server] is missing. */
-    fun missing(turn: Reduction, server: RegisteredServer) {
-        val group = turn.group(server.group)
+    /** Records that the entry of [server] is missing, unless it is the group's primary. */
+    fun markMissing(reduction: Reduction, server: RegisteredServer) {
+        val group = reduction.group(server.group)
         if (group.record != null && group.record.primary != server.name) {
-            turn.put(group.copy(departed = group.departed + (server.name to turn.now)))
+            reduction.put(group.copy(departed = group.departed + (server.name to reduction.now)))
         }
     }
 
-    /** Notes that [server] is registered. */
-    fun present(turn: Reduction, server: RegisteredServer) {
-        val group = turn.group(server.group)
-        if (server.name in group.departed) turn.put(group.copy(departed = group.departed - server.name))
+    /** Forgets an earlier removal of [server], which is registered again. */
+    fun markPresent(reduction: Reduction, server: RegisteredServer) {
+        val group = reduction.group(server.group)
+        if (server.name in group.departed) reduction.put(group.copy(departed = group.departed - server.name))
     }
 
-    /** Takes a head position of the primary as the limit of what the replicas that left before it can hold. */
-    fun sampled(group: GroupView, head: HeadSample): GroupView {
+    /**
+     * Forgets the replicas that were removed before [head] was requested. They hold no acknowledged commit
+     * after its position, so the floor for a successor is raised to it.
+     */
+    fun applyHeadSample(group: GroupView, head: HeadSample): GroupView {
         val remaining = group.departed.filterValues { it > head.sentAt }
         if (remaining.size == group.departed.size) return group
         val floor = group.departedFloor?.let { maxOf(it, head.position) } ?: head.position
         return group.copy(departed = remaining, departedFloor = floor)
     }
 
-    /** The [record] of an intent to replace the primary, with what its successor has to prove. */
-    fun required(turn: Reduction, group: GroupView, record: FleetRecord.Group): FleetRecord.Group {
-        if (!SuccessorChoice.commitsWaitForReplicas(turn, group)) return record
-        val registered = SuccessorChoice.replicas(turn, group).map { it.name }
+    /** Adds to an intent [record] the replicas that must report and the log position that the successor must reach. */
+    fun withCommitRequirements(reduction: Reduction, group: GroupView, record: FleetRecord.Group): FleetRecord.Group {
+        if (!SuccessorChoice.isReplicationSynchronous(reduction, group)) return record
+        val registered = SuccessorChoice.replicas(reduction, group).map { it.name }
         val floor = listOfNotNull(record.floor, group.departedFloor).maxOrNull()
         return record.copy(replicas = record.replicas + registered + group.departed.keys, floor = floor)
     }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/PrimaryChanges.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/PrimaryChanges.kt
@@ -12,18 +12,18 @@
 import dev.hibiscusreach.sessions.state.PrimaryChange
 
 /**
- * Carries out changes of primaries. The intent is recorded in the store first; then every proxy confirms that it has
- * stopped using the primary, or its lease ends; then the successor is chosen, promoted and recorded. A proxy that
- * continues a change of another one starts with an intent of its own, so that the earlier one stops.
+ * Replaces primaries. The proxy first records its intent in the store, then waits until every proxy has confirmed the
+ * fence or its lease has expired, and then chooses, promotes and records the successor. A proxy that takes over the
+ * change of another one records an intent of its own first, so that the other proxy stops.
  */
 internal object PrimaryChanges {
-    /** Records the intent to replace the group's primary. */
-    fun begin(turn: Reduction, name: GroupName, reason: ChangeReason) {
-        val group = turn.group(name)
+    /** Starts a change of primary by writing the intent to the store. */
+    fun begin(reduction: Reduction, name: GroupName, reason: ChangeReason) {
+        val group = reduction.group(name)
         val record = group.record ?: return
-        val next = record.copy(epoch = record.epoch + 1, changedBy = turn.state.self.identity)
-        val intent = DepartedReplicas.required(turn, group, next)
-        turn.log(
+        val next = record.copy(epoch = record.epoch + 1, changedBy = reduction.state.self.identity)
+        val intent = DepartedReplicas.withCommitRequirements(reduction, group, next)
+        reduction.log(
             "primary change begins",
             "group" to name,
             "primary" to record.primary,
@@ -33,72 +33,79 @@
             "replicas" to intent.replicas.takeIf { it.isNotEmpty() },
             "floor" to intent.floor,
         )
-        turn.count(SessionCounter.PRIMARY_CHANGES, "begun")
-        val change = PrimaryChange(reason, ChangePhase.RECORDING, turn.now, intent)
-        turn.put(group.copy(suspicion = null, change = change))
-        turn.emit(SessionEffect.WriteFleet(FleetKey.group(name), intent, group.revision))
+        reduction.count(SessionCounter.PRIMARY_CHANGES, "begun")
+        val change = PrimaryChange(reason, ChangePhase.RECORDING, reduction.now, intent)
+        reduction.put(group.copy(suspicion = null, change = change))
+        reduction.emit(SessionEffect.WriteFleet(FleetKey.group(name), intent, group.revision))
     }
 
-    fun written(turn: Reduction, name: GroupName, outcome: WriteOutcome) {
-        val group = turn.group(name)
+    /** Handles the outcome of a write of the group's record. */
+    fun handleWriteOutcome(reduction: Reduction, name: GroupName, outcome: WriteOutcome) {
+        val group = reduction.group(name)
         val change = group.change
         when {
-            outcome !is WriteOutcome.Written -> LeaseRenewal.read(turn)
-            change?.phase == ChangePhase.RECORDING -> recorded(turn, group, change, outcome.revision)
-            change?.phase == ChangePhase.PUBLISHING -> published(turn, group, change, outcome.revision)
-            // The first record of a group, or a write that an earlier change has left behind.
-            else -> LeaseRenewal.read(turn)
+            outcome !is WriteOutcome.Written -> LeaseRenewal.read(reduction)
+            change?.phase == ChangePhase.RECORDING -> startFencing(reduction, group, change, outcome.revision)
+            change?.phase == ChangePhase.PUBLISHING -> complete(reduction, group, change, outcome.revision)
+            // The first record of a group, or a write of an earlier change.
+            else -> LeaseRenewal.read(reduction)
         }
     }
 
-    /** Advances the group's change, or continues one that another proxy has left. */
-    fun review(turn: Reduction, name: GroupName) {
-        val group = turn.group(name)
+    /** Advances this proxy's change of the group, or checks the progress of another proxy's change. */
+    fun advance(reduction: Reduction, name: GroupName) {
+        val group = reduction.group(name)
         val record = group.record ?: return
         val change = group.change
         when {
-            change == null && record.changedBy == turn.state.self.identity -> resume(turn, group)
-            change == null && record.changedBy != null -> ChangeTakeover.review(turn, group)
+            change == null && record.changedBy == reduction.state.self.identity -> resumeOwnChange(reduction, group)
+            change == null && record.changedBy != null -> ChangeTakeover.checkProgress(reduction, group)
             change == null -> Unit
-            change.phase == ChangePhase.RECORDING -> reviewRecording(turn, group, change)
-            change.phase == ChangePhase.FENCING -> ChangeFencing.review(turn, group, change)
-            else -> SuccessorPromotion.review(turn, group, change)
+            change.phase == ChangePhase.RECORDING -> checkRecordingTimeout(reduction, group, change)
+            change.phase == ChangePhase.FENCING -> ChangeFencing.advance(reduction, group, change)
+            else -> SuccessorPromotion.advance(reduction, group, change)
         }
     }
 
-    /** Moves a change to [phase]. */
-    fun enter(turn: Reduction, group: GroupView, change: PrimaryChange, phase: ChangePhase): GroupView {
-        turn.log("primary change", "group" to group.name, "phase" to phase.name, "epoch" to group.record?.epoch)
-        val next = group.copy(change = change.copy(phase = phase, phaseSince = turn.now, requestsSentAt = null))
-        turn.put(next)
+    /** Moves a change to [phase] and returns the updated group. */
+    fun enterPhase(reduction: Reduction, group: GroupView, change: PrimaryChange, phase: ChangePhase): GroupView {
+        reduction.log("primary change", "group" to group.name, "phase" to phase.name, "epoch" to group.record?.epoch)
+        val next = group.copy(change = change.copy(phase = phase, phaseSince = reduction.now, requestsSentAt = null))
+        reduction.put(next)
         return next
     }
 
-    private fun recorded(turn: Reduction, group: GroupView, change: PrimaryChange, revision: Long) {
+    private fun startFencing(reduction: Reduction, group: GroupView, change: PrimaryChange, revision: Long) {
         val intent = change.intent ?: return
-        turn.put(group.copy(record = intent, revision = revision, adoptedAt = turn.now))
-        ChangeFencing.start(turn, turn.group(group.name), change)
+        reduction.put(group.copy(record = intent, revision = revision, adoptedAt = reduction.now))
+        ChangeFencing.start(reduction, reduction.group(group.name), change)
     }
 
-    private fun resume(turn: Reduction, group: GroupView) =
-        ChangeFencing.start(turn, group, PrimaryChange(ChangeReason.ABANDONED, ChangePhase.RECORDING, turn.now))
+    private fun resumeOwnChange(reduction: Reduction, group: GroupView) =
+        ChangeFencing.start(
+            reduction,
+            group,
+            PrimaryChange(ChangeReason.ABANDONED, ChangePhase.RECORDING, reduction.now),
+        )
 
-    private fun reviewRecording(turn: Reduction, group: GroupView, change: PrimaryChange) {
-        if (turn.now - change.phaseSince < turn.settings.changes.takeoverTimeout) return
-        turn.put(group.copy(change = null, changeAfter = turn.now + turn.settings.changes.retryPause))
-        LeaseRenewal.read(turn)
+    private fun checkRecordingTimeout(reduction: Reduction, group: GroupView, change: PrimaryChange) {
+        if (reduction.now - change.phaseSince < reduction.settings.changes.takeoverTimeout) return
+        reduction.put(group.copy(change = null, changeAfter = reduction.now + reduction.settings.changes.retryPause))
+        LeaseRenewal.read(reduction)
     }
 
-    private fun published(turn: Reduction, group: GroupView, change: PrimaryChange, revision: Long) {
+    private fun complete(reduction: Reduction, group: GroupView, change: PrimaryChange, revision: Long) {
         val record = change.published ?: return
-        GroupRecordAdoption.adopt(turn, group.name, record, revision)
-        turn.count(SessionCounter.PRIMARY_CHANGES, "completed")
+        GroupRecordAdoption.adopt(reduction, group.name, record, revision)
+        reduction.count(SessionCounter.PRIMARY_CHANGES, "completed")
         val request = PeerRequest.Publish(record, revision)
-        PeerMonitoring.peers(turn).forEach { turn.emit(SessionEffect.AskPeer(it, request)) }
-        turn.put(turn.group(group.name).copy(changeAfter = turn.now + turn.settings.changes.retryPause))
+        PeerMonitoring.peers(reduction).forEach { reduction.emit(SessionEffect.AskPeer(it, request)) }
+        reduction.put(
+            reduction.group(group.name).copy(changeAfter = reduction.now + reduction.settings.changes.retryPause),
+        )
     }
 
-    /** Whether the requests of the present phase are to be repeated. */
-    fun isDue(turn: Reduction, change: PrimaryChange): Boolean =
-        change.requestsSentAt?.let { turn.now - it >= turn.settings.changes.requestPeriod } ?: true
+    /** Whether the requests of the current phase have not been sent yet or must be repeated. */
+    fun areRequestsDue(reduction: Reduction, change: PrimaryChange): Boolean =
+        change.requestsSentAt?.let { reduction.now - it >= reduction.settings.changes.requestPeriod } ?: true
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/PrimaryFencing.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/PrimaryFencing.kt
@@ -12,68 +12,69 @@
 import dev.hibiscusreach.sessions.state.Session
 
 /**
- * Stops the use of a primary that is being replaced. A fence is settled once nothing that was sent to the primary is
- * still trusted; only then is it confirmed, so that a successor cannot lead beside it.
+ * Stops this proxy's use of a primary that is being replaced. A fence is settled once no write that was sent to the
+ * primary is reported as successful any more. It is confirmed only then, so that no two primaries are in use at once.
  */
 internal object PrimaryFencing {
-    /** A peer that replaces the primary asks for a fence. */
-    fun asked(turn: Reduction, number: PeerRequestNumber, request: PeerRequest.Fence) {
+    /** Handles a fence request; it is answered once the fence is settled or no longer needed. */
+    fun handleFenceRequest(reduction: Reduction, number: PeerRequestNumber, request: PeerRequest.Fence) {
         val name = GroupName(request.group)
-        val inForce = turn.group(name).record
-        if (inForce != null && inForce.changedBy == null && inForce.epoch >= request.epoch) {
-            turn.emit(SessionEffect.AnswerPeer(number, PeerAnswer.Done))
+        val current = reduction.group(name).record
+        if (current != null && current.changedBy == null && current.epoch >= request.epoch) {
+            reduction.emit(SessionEffect.AnswerPeer(number, PeerAnswer.Done))
             return
         }
-        raise(turn, name, request.epoch, request.planned)
-        val group = turn.group(name)
-        group.fence?.let { turn.put(group.copy(fence = it.copy(waiting = it.waiting.add(number)))) }
-        settle(turn, name)
+        fencePrimary(reduction, name, request.epoch, request.planned)
+        val group = reduction.group(name)
+        group.fence?.let { reduction.put(group.copy(fence = it.copy(waiting = it.waiting.add(number)))) }
+        settle(reduction, name)
     }
 
-    /** Stops the use of the primary before [epoch]. */
-    fun raise(turn: Reduction, name: GroupName, epoch: Long, planned: Boolean) {
-        val group = turn.group(name)
-        val before = group.fence
-        if (before != null && before.epoch >= epoch) return
-        turn.log("primary fenced", "group" to name, "epoch" to epoch, "planned" to planned)
-        val waiting = before?.waiting ?: Fence(epoch, turn.now, planned).waiting
-        turn.put(group.copy(fence = Fence(epoch, turn.now, planned, waiting = waiting)))
-        settle(turn, name)
+    /** Stops the use of the primary that served before [epoch]. */
+    fun fencePrimary(reduction: Reduction, name: GroupName, epoch: Long, planned: Boolean) {
+        val group = reduction.group(name)
+        val previous = group.fence
+        if (previous != null && previous.epoch >= epoch) return
+        reduction.log("primary fenced", "group" to name, "epoch" to epoch, "planned" to planned)
+        val waiting = previous?.waiting ?: Fence(epoch, reduction.now, planned).waiting
+        reduction.put(group.copy(fence = Fence(epoch, reduction.now, planned, waiting = waiting)))
+        settle(reduction, name)
     }
 
-    /** Confirms a fence when nothing is in flight to the primary, or when its grace is over. */
-    fun settle(turn: Reduction, name: GroupName) {
-        val group = turn.group(name)
+    /** Settles and confirms a fence once no statement in flight delays it, or its grace period has ended. */
+    fun settle(reduction: Reduction, name: GroupName) {
+        val group = reduction.group(name)
         val fence = group.fence ?: return
         if (!fence.settled) {
-            val grace = if (fence.planned) turn.settings.changes.plannedGrace else turn.settings.changes.failureGrace
-            val affected = affected(turn, group)
-            val over = turn.now - fence.since >= grace
-            if (affected.any { holdsFence(it, fence.planned) } && !over) return
-            affected.forEach { endTransaction(turn, it) }
+            val grace =
+                if (fence.planned) reduction.settings.changes.plannedGrace else reduction.settings.changes.failureGrace
+            val sessions = sessionsOnPrimary(reduction, group)
+            val graceOver = reduction.now - fence.since >= grace
+            if (sessions.any { delaysFence(it, fence.planned) } && !graceOver) return
+            sessions.forEach { endTransaction(reduction, it) }
         }
-        confirm(turn, name)
+        confirm(reduction, name)
     }
 
-    /** Answers peers that wait for a fence which is no longer needed. */
-    fun dropWaiting(turn: Reduction, group: GroupView) =
+    /** Confirms a fence that is no longer needed to the peers that wait for it. */
+    fun answerWaiters(reduction: Reduction, group: GroupView) =
         group.fence
             ?.waiting
             .orEmpty()
-            .forEach { turn.emit(SessionEffect.AnswerPeer(it, PeerAnswer.Done)) }
+            .forEach { reduction.emit(SessionEffect.AnswerPeer(it, PeerAnswer.Done)) }
 
-    private fun confirm(turn: Reduction, name: GroupName) {
-        val group = turn.group(name)
+    private fun confirm(reduction: Reduction, name: GroupName) {
+        val group = reduction.group(name)
         val fence = group.fence ?: return
-        if (!fence.settled) turn.log("fence settled", "group" to name, "epoch" to fence.epoch)
-        fence.waiting.forEach { turn.emit(SessionEffect.AnswerPeer(it, PeerAnswer.Done)) }
-        turn.put(group.copy(fence = fence.copy(settled = true, waiting = fence.waiting.clear())))
+        if (!fence.settled) reduction.log("fence settled", "group" to name, "epoch" to fence.epoch)
+        fence.waiting.forEach { reduction.emit(SessionEffect.AnswerPeer(it, PeerAnswer.Done)) }
+        reduction.put(group.copy(fence = fence.copy(settled = true, waiting = fence.waiting.clear())))
     }
 
-    private fun affected(turn: Reduction, group: GroupView): List<Session> =
-        group.record?.let { turn.sessionsAt(group.name, it.primary) }.orEmpty()
+    private fun sessionsOnPrimary(reduction: Reduction, group: GroupView): List<Session> =
+        group.record?.let { reduction.sessionsAt(group.name, it.primary) }.orEmpty()
 
-    private fun holdsFence(session: Session, planned: Boolean): Boolean {
+    private fun delaysFence(session: Session, planned: Boolean): Boolean {
         val running = session.running
         val pending = session.pending
         val commits = pending?.commits == true && running?.wrote == true
@@ -81,12 +82,12 @@
         return pending?.phase is Phase.Sent && (commits || writes) || planned && running != null
     }
 
-    // A transaction whose commit was sent ends with the answer to it.
-    private fun endTransaction(turn: Reduction, session: Session) {
+    // A transaction whose commit has been sent ends with the answer to the commit.
+    private fun endTransaction(reduction: Reduction, session: Session) {
         val running = session.running ?: return
         if (running.begun.readOnly) return
         if (session.pending == null) {
-            StatementDeadlines.endTransaction(turn, session, running, "the primary is being replaced")
+            StatementDeadlines.endTransaction(reduction, session, running, "the primary is being replaced")
         }
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/PromoterLocking.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/PromoterLocking.kt
@@ -12,48 +12,52 @@
 import dev.hibiscusreach.sessions.state.PromoterLock
 
 /**
- * The right to order promotions, which one proxy has at a time. Its fencing token is the revision of the promoter's
- * record, so it increases with every holder.
+ * The lock that a proxy must hold to request a promotion; one proxy has it at a time. Its fencing token is the revision
+ * of the promoter's record, so it increases with every holder.
  */
 internal object PromoterLocking {
-    fun review(turn: Reduction, group: GroupView, change: PrimaryChange) {
-        val fleet = turn.state.fleet
+    /** Requests the lock, or reads the store again while another proxy holds it. */
+    fun advance(reduction: Reduction, group: GroupView, change: PrimaryChange) {
+        val fleet = reduction.state.fleet
         val stored = fleet.records[FleetKey.PROMOTER]
         val holder = (stored?.record as? FleetRecord.Promoter)?.holder
-        val stale = fleet.promoterSeenAt?.let { turn.now - it > turn.settings.changes.promoterLockTakeover } ?: false
-        val free = holder == null || holder.node == turn.state.self.identity.node || stale
+        val stale =
+            fleet.promoterSeenAt?.let { reduction.now - it > reduction.settings.changes.promoterLockTakeover } ?: false
+        val available = holder == null || holder.node == reduction.state.self.identity.node || stale
         when {
-            !PrimaryChanges.isDue(turn, change) -> Unit
-            !free -> {
-                turn.put(group.copy(change = change.copy(requestsSentAt = turn.now)))
-                LeaseRenewal.read(turn)
+            !PrimaryChanges.areRequestsDue(reduction, change) -> Unit
+            !available -> {
+                reduction.put(group.copy(change = change.copy(requestsSentAt = reduction.now)))
+                LeaseRenewal.read(reduction)
             }
             else -> {
-                val record = FleetRecord.Promoter(turn.state.self.identity)
+                val record = FleetRecord.Promoter(reduction.state.self.identity)
                 val requested =
                     change.copy(
-                        requestsSentAt = turn.now,
-                        promoterLock = PromoterLock(token = 0, requestedAt = turn.now),
+                        requestsSentAt = reduction.now,
+                        promoterLock = PromoterLock(token = 0, requestedAt = reduction.now),
                     )
-                turn.put(group.copy(change = requested))
-                turn.emit(SessionEffect.WriteFleet(FleetKey.PROMOTER, record, stored?.revision))
+                reduction.put(group.copy(change = requested))
+                reduction.emit(SessionEffect.WriteFleet(FleetKey.PROMOTER, record, stored?.revision))
             }
         }
     }
 
-    fun written(turn: Reduction, outcome: WriteOutcome) {
-        LeaseRenewal.written(turn, FleetKey.PROMOTER, outcome)
-        val group = turn.state.groups.values.find { it.change?.phase == ChangePhase.ACQUIRING }
+    /** Handles the outcome of a write of the promoter's record; requests the promotion if the lock was acquired. */
+    fun handleWriteOutcome(reduction: Reduction, outcome: WriteOutcome) {
+        LeaseRenewal.written(reduction, FleetKey.PROMOTER, outcome)
+        val group = reduction.state.groups.values.find { it.change?.phase == ChangePhase.ACQUIRING }
         val requested = group?.change?.promoterLock
         if (outcome is WriteOutcome.Written && requested != null) {
-            promote(turn, group, group.change, requested.copy(token = outcome.revision))
+            requestPromotion(reduction, group, group.change, requested.copy(token = outcome.revision))
         }
     }
 
-    fun answered(turn: Reduction, event: SessionEvent.PromotionAnswered) {
-        val group = turn.group(event.group)
+    /** Releases the lock, then waits for the successor to lead, or looks for another one if it was rejected. */
+    fun handlePromotionOutcome(reduction: Reduction, event: SessionEvent.PromotionAnswered) {
+        val group = reduction.group(event.group)
         val change = group.change ?: return
-        turn.log(
+        reduction.log(
             "promotion answered",
             "group" to event.group,
             "successor" to event.server,
@@ -61,30 +65,39 @@
             "fencingToken" to change.promoterLock?.token,
         )
         if (change.phase != ChangePhase.PROMOTING || change.successor != event.server) return
-        release(turn)
+        releaseLock(reduction)
         when (event.outcome) {
             PromotionOutcome.ACCEPTED, PromotionOutcome.UNKNOWN ->
-                PrimaryChanges.enter(turn, group, change.copy(statuses = emptyMap()), ChangePhase.CONFIRMING)
+                PrimaryChanges.enterPhase(reduction, group, change.copy(statuses = emptyMap()), ChangePhase.CONFIRMING)
             PromotionOutcome.REJECTED ->
-                SuccessorPromotion.inspect(turn, group, change.copy(rejected = change.rejected + event.server))
+                SuccessorPromotion.inspectServers(
+                    reduction,
+                    group,
+                    change.copy(rejected = change.rejected + event.server),
+                )
         }
     }
 
-    // The right is used only while no other proxy can have taken it over.
-    private fun promote(turn: Reduction, group: GroupView, change: PrimaryChange, duty: PromoterLock) {
+    // The lock is used only while no other proxy can have taken it over.
+    private fun requestPromotion(reduction: Reduction, group: GroupView, change: PrimaryChange, lock: PromoterLock) {
         val successor = change.successor ?: return
-        if (turn.now - duty.requestedAt > turn.settings.changes.promoterLockUse) {
-            turn.put(group.copy(change = change.copy(promoterLock = null)))
+        if (reduction.now - lock.requestedAt > reduction.settings.changes.promoterLockUse) {
+            reduction.put(group.copy(change = change.copy(promoterLock = null)))
         } else {
-            turn.log("promotion ordered", "group" to group.name, "successor" to successor, "fencingToken" to duty.token)
-            PrimaryChanges.enter(turn, group, change.copy(promoterLock = duty), ChangePhase.PROMOTING)
-            turn.emit(SessionEffect.Promote(group.name, successor, duty.token))
+            reduction.log(
+                "promotion ordered",
+                "group" to group.name,
+                "successor" to successor,
+                "fencingToken" to lock.token,
+            )
+            PrimaryChanges.enterPhase(reduction, group, change.copy(promoterLock = lock), ChangePhase.PROMOTING)
+            reduction.emit(SessionEffect.Promote(group.name, successor, lock.token))
         }
     }
 
-    private fun release(turn: Reduction) {
-        val stored = turn.state.fleet.records[FleetKey.PROMOTER] ?: return
+    private fun releaseLock(reduction: Reduction) {
+        val stored = reduction.state.fleet.records[FleetKey.PROMOTER] ?: return
         val record = FleetRecord.Promoter(holder = null)
-        turn.emit(SessionEffect.WriteFleet(FleetKey.PROMOTER, record, stored.revision))
+        reduction.emit(SessionEffect.WriteFleet(FleetKey.PROMOTER, record, stored.revision))
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/SuccessorPromotion.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/SuccessorPromotion.kt
@@ -10,115 +10,125 @@
 import dev.hibiscusreach.sessions.state.GroupView
 import dev.hibiscusreach.sessions.state.PrimaryChange
 
-/** The part of a change of primary after the fence: chooses a successor and brings it into office. */
+/** The phases of a change of primary after fencing: chooses, promotes and publishes the successor. */
 internal object SuccessorPromotion {
-    /** Asks all servers of the group for their status. */
-    fun inspect(turn: Reduction, group: GroupView, change: PrimaryChange) {
-        val fresh = change.copy(statuses = emptyMap(), successor = null)
-        SuccessorChoice.askStatus(turn, PrimaryChanges.enter(turn, group, fresh, ChangePhase.INSPECTING))
+    /** Discards earlier statuses and the successor, and asks all servers of the group for their status. */
+    fun inspectServers(reduction: Reduction, group: GroupView, change: PrimaryChange) {
+        val inspecting = change.copy(statuses = emptyMap(), successor = null)
+        SuccessorChoice.requestStatuses(
+            reduction,
+            PrimaryChanges.enterPhase(reduction, group, inspecting, ChangePhase.INSPECTING),
+        )
     }
 
-    fun review(turn: Reduction, group: GroupView, change: PrimaryChange) {
-        val waited = turn.now - change.phaseSince
+    /** Moves the change to its next phase if the current one is complete, or repeats its requests. */
+    fun advance(reduction: Reduction, group: GroupView, change: PrimaryChange) {
+        val elapsed = reduction.now - change.phaseSince
         when (change.phase) {
-            ChangePhase.INSPECTING -> reviewStatuses(turn, group, change)
-            ChangePhase.CATCHING_UP -> reviewCatchUp(turn, group, change)
-            ChangePhase.ACQUIRING -> PromoterLocking.review(turn, group, change)
+            ChangePhase.INSPECTING -> checkStatuses(reduction, group, change)
+            ChangePhase.CATCHING_UP -> checkCatchUp(reduction, group, change)
+            ChangePhase.ACQUIRING -> PromoterLocking.advance(reduction, group, change)
             ChangePhase.PROMOTING ->
-                if (waited > turn.settings.changes.promotionTimeout) {
-                    PrimaryChanges.enter(turn, group, change, ChangePhase.ACQUIRING)
+                if (elapsed > reduction.settings.changes.promotionTimeout) {
+                    PrimaryChanges.enterPhase(reduction, group, change, ChangePhase.ACQUIRING)
                 }
-            ChangePhase.CONFIRMING -> reviewConfirmation(turn, group, change)
+            ChangePhase.CONFIRMING -> checkConfirmation(reduction, group, change)
             ChangePhase.PUBLISHING ->
-                if (PrimaryChanges.isDue(turn, change)) ChangePublication.publishAgain(turn, group, change)
+                if (PrimaryChanges.areRequestsDue(reduction, change)) {
+                    ChangePublication.writeRecord(reduction, group, change)
+                }
             ChangePhase.RECORDING, ChangePhase.FENCING -> Unit
         }
     }
 
-    /** Handles the status of a server of a group whose primary is changed. */
-    fun reported(turn: Reduction, event: SessionEvent.ControlAnswered) {
-        val group = turn.state.server(event.server)?.let { turn.group(it.group) }
+    /** Handles the status of a server if its group's primary is being replaced. */
+    fun handleStatus(reduction: Reduction, event: SessionEvent.ControlAnswered) {
+        val group = reduction.state.server(event.server)?.let { reduction.group(it.group) }
         val change = group?.change
         val status = event.status
         if (change != null && status != null) {
-            turn.put(group.copy(change = change.copy(statuses = change.statuses + (event.server to status))))
-            PrimaryChanges.review(turn, group.name)
+            reduction.put(group.copy(change = change.copy(statuses = change.statuses + (event.server to status))))
+            PrimaryChanges.advance(reduction, group.name)
         }
     }
 
-    private fun reviewStatuses(turn: Reduction, group: GroupView, change: PrimaryChange) {
+    private fun checkStatuses(reduction: Reduction, group: GroupView, change: PrimaryChange) {
         val record = group.record ?: return
-        val leader = change.statuses.entries.find { leads(record, it.key, it.value) }
+        val newPrimary = change.statuses.entries.find { isNewPrimary(record, it.key, it.value) }
         val incumbent = change.statuses[record.primary]
-        val waited = turn.now - change.phaseSince
-        val complete = turn.servers(group.name).all { it.name in change.statuses }
-        val leaving = turn.state.server(record.primary)?.leaving ?: true
-        val successor = SuccessorChoice.successor(turn, group, change)
+        val elapsed = reduction.now - change.phaseSince
+        val allReported = reduction.servers(group.name).all { it.name in change.statuses }
+        val leaving = reduction.state.server(record.primary)?.leaving ?: true
+        val successor = SuccessorChoice.findSuccessor(reduction, group, change)
         when {
-            leader != null -> ChangePublication.publish(turn, group, change, leader.key, leader.value.term)
-            incumbent?.role == ServerRole.PRIMARY && !leaving -> ChangePublication.keep(turn, group, change, incumbent)
-            successor != null && (complete || waited > turn.settings.changes.statusTimeout) ->
-                succeed(turn, group, change, successor, incumbent)
-            PrimaryChanges.isDue(turn, change) -> SuccessorChoice.askStatus(turn, group)
+            newPrimary != null ->
+                ChangePublication.publish(reduction, group, change, newPrimary.key, newPrimary.value.term)
+            incumbent?.role == ServerRole.PRIMARY && !leaving ->
+                ChangePublication.keepPrimary(reduction, group, change, incumbent)
+            successor != null && (allReported || elapsed > reduction.settings.changes.statusTimeout) ->
+                acceptSuccessor(reduction, group, change, successor, incumbent)
+            PrimaryChanges.areRequestsDue(reduction, change) -> SuccessorChoice.requestStatuses(reduction, group)
         }
     }
 
-    // A term has one primary. Another server that leads in the recorded term has the primary's log under a new name.
-    private fun leads(record: FleetRecord.Group, server: ServerName, status: ServerStatus): Boolean {
+    // A term has only one primary, so another server that leads in the recorded term is the old primary with its log
+    // under a new name.
+    private fun isNewPrimary(record: FleetRecord.Group, server: ServerName, status: ServerStatus): Boolean {
         val isOther = status.term > record.term || status.term == record.term && server != record.primary
         return status.role == ServerRole.PRIMARY && isOther
     }
 
-    private fun succeed(
-        turn: Reduction,
+    private fun acceptSuccessor(
+        reduction: Reduction,
         group: GroupView,
         change: PrimaryChange,
         successor: ServerName,
         incumbent: ServerStatus?,
     ) {
         val chosen = change.copy(successor = successor)
-        val complete = SuccessorChoice.hasAllCommits(turn, group, change, successor)
-        if (!complete) turn.log("successor may lack commits", "group" to group.name, level = LogLevel.ERROR)
-        turn.log(
+        val hasAllCommits = SuccessorChoice.hasAllCommits(reduction, group, change, successor)
+        if (!hasAllCommits) reduction.log("successor may lack commits", "group" to group.name, level = LogLevel.ERROR)
+        reduction.log(
             "successor chosen",
             "group" to group.name,
             "successor" to successor,
             "received" to change.statuses[successor]?.received,
             "incumbent" to incumbent?.received,
         )
-        val phase = if (SuccessorChoice.isHandedOver(group, change)) ChangePhase.CATCHING_UP else ChangePhase.ACQUIRING
-        val next = PrimaryChanges.enter(turn, group, chosen, phase)
-        next.change?.let { review(turn, next, it) }
+        val phase =
+            if (SuccessorChoice.isIncumbentReporting(group, change)) ChangePhase.CATCHING_UP else ChangePhase.ACQUIRING
+        val next = PrimaryChanges.enterPhase(reduction, group, chosen, phase)
+        next.change?.let { advance(reduction, next, it) }
     }
 
-    private fun reviewCatchUp(turn: Reduction, group: GroupView, change: PrimaryChange) {
+    private fun checkCatchUp(reduction: Reduction, group: GroupView, change: PrimaryChange) {
         val successor = change.successor ?: return
         val incumbent = group.record?.primary ?: return
-        val reached = change.statuses[successor]?.received
-        val head = change.statuses[incumbent]?.received
+        val received = change.statuses[successor]?.received
+        val incumbentReceived = change.statuses[incumbent]?.received
         when {
-            reached != null && head != null && reached >= head ->
-                PrimaryChanges.enter(turn, group, change, ChangePhase.ACQUIRING)
-            turn.now - change.phaseSince > turn.settings.changes.catchUpTimeout ->
-                change.statuses[incumbent]?.let { ChangePublication.keep(turn, group, change, it) }
-            polls(turn, change) -> SuccessorChoice.askStatus(turn, group)
+            received != null && incumbentReceived != null && received >= incumbentReceived ->
+                PrimaryChanges.enterPhase(reduction, group, change, ChangePhase.ACQUIRING)
+            reduction.now - change.phaseSince > reduction.settings.changes.catchUpTimeout ->
+                change.statuses[incumbent]?.let { ChangePublication.keepPrimary(reduction, group, change, it) }
+            isPollDue(reduction, change) -> SuccessorChoice.requestStatuses(reduction, group)
         }
     }
 
-    private fun reviewConfirmation(turn: Reduction, group: GroupView, change: PrimaryChange) {
+    private fun checkConfirmation(reduction: Reduction, group: GroupView, change: PrimaryChange) {
         val successor = change.successor ?: return
         val term = group.record?.term ?: return
         val status = change.statuses[successor]
         when {
             status != null && status.role == ServerRole.PRIMARY && status.term > term ->
-                ChangePublication.publish(turn, group, change, successor, status.term)
-            turn.now - change.phaseSince > turn.settings.changes.promotionTimeout ->
-                inspect(turn, group, change)
-            polls(turn, change) -> SuccessorChoice.askStatus(turn, group)
+                ChangePublication.publish(reduction, group, change, successor, status.term)
+            reduction.now - change.phaseSince > reduction.settings.changes.promotionTimeout ->
+                inspectServers(reduction, group, change)
+            isPollDue(reduction, change) -> SuccessorChoice.requestStatuses(reduction, group)
         }
     }
 
-    // Statuses are asked for at each review while only the progress of a server is waited for.
-    private fun polls(turn: Reduction, change: PrimaryChange): Boolean =
-        turn.now - (change.requestsSentAt ?: change.phaseSince) >= turn.settings.changes.checkPeriod
+    // Polls more often than requestPeriod while the change waits only for a server's progress.
+    private fun isPollDue(reduction: Reduction, change: PrimaryChange): Boolean =
+        reduction.now - (change.requestsSentAt ?: change.phaseSince) >= reduction.settings.changes.checkPeriod
 }
--- a/sessions/src/test/kotlin/dev/hibiscusreach/sessions/PrimaryChangeTest.kt
+++ b/sessions/src/test/kotlin/dev/hibiscusreach/sessions/PrimaryChangeTest.kt
@@ -48,7 +48,7 @@
 
     private fun writtenKeys() = effects<SessionEffect.WriteFleet>().map { it.key }
 
-    /** The primary leaves, and the intent to replace it is recorded. */
+    /** Marks the primary as leaving and confirms the write of the intent to replace it. */
     private fun beginPlannedChange() {
         val leaving = SERVERS.map { if (it.name == PRIMARY) server(PRIMARY, EAST, ServerRole.PRIMARY, true) else it }
         proxy.feed(SessionEvent.ServersRead(leaving.associateBy { it.name }))
@@ -69,7 +69,7 @@
         proxy.pass(100)
     }
 
-    private fun orderPromotion() {
+    private fun requestPromotion() {
         beginPlannedChange()
         proxy.readFleet(proxy.records(intent))
         listOf("node-2", "node-3").forEach { confirmFence(it) }
@@ -92,7 +92,7 @@
     }
 
     @Test
-    fun `a proxy that joins beside the intent is fenced as well - guards against a lease that nobody waits for`() {
+    fun `a proxy that registers during a change is fenced as well - guards against a lease that no proxy waits for`() {
         beginPlannedChange()
         listOf("node-2", "node-3").forEach { confirmFence(it) }
         proxy.take()
@@ -106,7 +106,7 @@
     }
 
     @Test
-    fun `a proxy that stays silent is expelled when its lease is over`() {
+    fun `a proxy that does not confirm the fence is expelled when its lease has expired`() {
         beginPlannedChange()
         proxy.readFleet(proxy.records(intent))
         confirmFence("node-2")
@@ -116,17 +116,17 @@
 
     @Test
     fun `a promotion carries the revision of the promoter's record as its fencing token`() {
-        orderPromotion()
+        requestPromotion()
         expectThat(effects<SessionEffect.Promote>()).contains(SessionEffect.Promote(GROUP, NEAR_REPLICA, 31))
     }
 
     @Test
     fun `the successor is published once it leads and the old primary steps down`() {
-        orderPromotion()
+        requestPromotion()
         proxy.feed(SessionEvent.PromotionAnswered(GROUP, NEAR_REPLICA, PromotionOutcome.ACCEPTED))
         proxy.take()
-        val leads = ServerStatus(ServerRole.PRIMARY, Term(2), Position(Term(2), 11))
-        proxy.feed(SessionEvent.ControlAnswered(NEAR_REPLICA, ControlRequest.Status, leads))
+        val leading = ServerStatus(ServerRole.PRIMARY, Term(2), Position(Term(2), 11))
+        proxy.feed(SessionEvent.ControlAnswered(NEAR_REPLICA, ControlRequest.Status, leading))
         val effects = proxy.take()
         val published = GROUP_RECORD.copy(epoch = 2, term = Term(2), primary = NEAR_REPLICA)
         expectThat(effects.filterIsInstance<SessionEffect.SendControl>().map { it.command })
@@ -135,7 +135,7 @@
     }
 
     @Test
-    fun `a fenced proxy sends nothing to the old primary - guards against writes beside the successor`() {
+    fun `a fenced proxy sends no write to the old primary - guards against two primaries that accept writes`() {
         val request = PeerRequest.Fence(GROUP.value, epoch = 2, planned = false)
         proxy.feed(SessionEvent.PeerAsked(PeerRequestNumber(1), request))
         val session = proxy.session(1, SIGN_OFFS)
@@ -160,7 +160,7 @@
     }
 
     @Test
-    fun `a change of a proxy that answers is not taken over - guards against changes that never end`() {
+    fun `the change of a proxy that answers is not taken over - guards against endless takeovers`() {
         val other = intent.copy(changedBy = proxy.peers[1])
         repeat(10) {
             proxy.readFleet(proxy.records(other))
@@ -171,7 +171,7 @@
     }
 
     @Test
-    fun `a change of a proxy that does not run any more is taken over`() {
+    fun `the change of a proxy that no longer runs is taken over`() {
         val other = intent.copy(changedBy = proxy.peers[1])
         proxy.readFleet(proxy.records(other))
         proxy.take()
@@ -181,7 +181,7 @@
     }
 
     @Test
-    fun `a change of a proxy that was started anew is taken over - guards against a group without a primary`() {
+    fun `the change of a proxy that was restarted is taken over - guards against a group without a primary`() {
         val earlier = proxy.peers[1].copy(incarnation = 0)
         proxy.readFleet(proxy.records(intent.copy(changedBy = earlier)))
         repeat(2) {
@@ -193,7 +193,7 @@
     }
 
     @Test
-    fun `a silent proxy is expelled - guards against a change of primary that waits for a lost host`() {
+    fun `an unresponsive proxy is expelled - guards against a change of primary that waits for a lost host`() {
         repeat(8) {
             proxy.pass(1_000)
             proxy.readFleet()
@@ -204,7 +204,7 @@
     }
 
     @Test
-    fun `paused replicas receive again when the primary stays in office - guards against endless commits`() {
+    fun `paused replicas are resumed when the primary is kept - guards against commits that never finish`() {
         val proxy = ProxyFixture(proxies = 1, synchronousReplicas = 1).ready()
         val intent = GROUP_RECORD.copy(epoch = 2, changedBy = proxy.peers.first())
         repeat(2) {
@@ -213,15 +213,15 @@
         }
         val paused = proxy.take().filterIsInstance<SessionEffect.SendControl>()
         expectThat(paused.map { it.command }).contains(ControlRequest.Pause(2))
-        val leads = ServerStatus(ServerRole.PRIMARY, Term(1), Position(Term(1), 10))
-        proxy.feed(SessionEvent.ControlAnswered(PRIMARY, ControlRequest.Status, leads))
+        val leading = ServerStatus(ServerRole.PRIMARY, Term(1), Position(Term(1), 10))
+        proxy.feed(SessionEvent.ControlAnswered(PRIMARY, ControlRequest.Status, leading))
         val resumed = proxy.take().filterIsInstance<SessionEffect.SendControl>()
         expectThat(resumed.filter { it.command == ControlRequest.Resume }.map { it.server.name })
             .isEqualTo(listOf(NEAR_REPLICA, FAR_REPLICA))
     }
 
     @Test
-    fun `a planned change waits for no replica but the successor - guards against an outage beside a lost replica`() {
+    fun `a planned change waits only for the successor - guards against an outage when another replica is lost`() {
         val proxy = ProxyFixture(proxies = 1, synchronousReplicas = 1).ready()
         val leaving = SERVERS.map { if (it.name == PRIMARY) server(PRIMARY, EAST, ServerRole.PRIMARY, true) else it }
         proxy.feed(SessionEvent.ServersRead(leaving.associateBy { it.name }))
@@ -238,94 +238,94 @@
         expectThat(proxy.take().filterIsInstance<SessionEffect.WriteFleet>().map { it.key }).contains(FleetKey.PROMOTER)
     }
 
-    private val waiting = ProxyFixture(proxies = 1, synchronousReplicas = 1).ready()
+    private val syncProxy = ProxyFixture(proxies = 1, synchronousReplicas = 1).ready()
     private val replicas = setOf(NEAR_REPLICA, FAR_REPLICA)
 
-    /** Servers report during a change after a failure that this proxy continues. */
-    private fun report(intent: FleetRecord.Group, reporting: List<ServerName>) {
-        val own = intent.copy(changedBy = waiting.peers.first())
+    /** Lets [reporting] report their status in an unplanned change that this proxy carries out. */
+    private fun reportDuringChange(intent: FleetRecord.Group, reporting: List<ServerName>) {
+        val own = intent.copy(changedBy = syncProxy.peers.first())
         repeat(2) {
-            waiting.readFleet(waiting.records(own))
-            waiting.pass(200)
+            syncProxy.readFleet(syncProxy.records(own))
+            syncProxy.pass(200)
         }
         val status = ServerStatus(ServerRole.REPLICA, Term(1), Position(Term(1), 10))
-        reporting.forEach { waiting.feed(SessionEvent.ControlAnswered(it, ControlRequest.Pause(2), status)) }
-        waiting.take()
-        waiting.pass(1_400)
+        reporting.forEach { syncProxy.feed(SessionEvent.ControlAnswered(it, ControlRequest.Pause(2), status)) }
+        syncProxy.take()
+        syncProxy.pass(1_400)
     }
 
-    private fun ordersPromotion() =
-        waiting.take().filterIsInstance<SessionEffect.WriteFleet>().any { it.key == FleetKey.PROMOTER }
+    private fun requestsPromoterLock() =
+        syncProxy.take().filterIsInstance<SessionEffect.WriteFleet>().any { it.key == FleetKey.PROMOTER }
 
-    private fun loseFarReplica() =
-        waiting.feed(SessionEvent.ServersRead(SERVERS.filter { it.name != FAR_REPLICA }.associateBy { it.name }))
+    private fun removeFarReplica() =
+        syncProxy.feed(SessionEvent.ServersRead(SERVERS.filter { it.name != FAR_REPLICA }.associateBy { it.name }))
 
     @Test
-    fun `after a failure every replica is heard first - guards against a successor without acknowledged commits`() {
-        report(GROUP_RECORD.copy(epoch = 2), listOf(NEAR_REPLICA))
-        expectThat(ordersPromotion()).isFalse()
+    fun `an unplanned change waits for every replica - guards against a successor without acknowledged commits`() {
+        reportDuringChange(GROUP_RECORD.copy(epoch = 2), listOf(NEAR_REPLICA))
+        expectThat(requestsPromoterLock()).isFalse()
     }
 
     @Test
     fun `a successor is promoted once every replica has reported`() {
         val intent = GROUP_RECORD.copy(epoch = 2, replicas = replicas, floor = Position(Term(1), 10))
-        report(intent, listOf(NEAR_REPLICA, FAR_REPLICA))
-        expectThat(ordersPromotion()).isTrue()
+        reportDuringChange(intent, listOf(NEAR_REPLICA, FAR_REPLICA))
+        expectThat(requestsPromoterLock()).isTrue()
     }
 
     @Test
-    fun `a replica that left during the change is still waited for - guards against a lost acknowledged commit`() {
-        loseFarReplica()
-        waiting.pass(4_000)
-        report(GROUP_RECORD.copy(epoch = 2, replicas = replicas), listOf(NEAR_REPLICA))
-        expectThat(ordersPromotion()).isFalse()
+    fun `a replica removed during the change must still report - guards against a lost acknowledged commit`() {
+        removeFarReplica()
+        syncProxy.pass(4_000)
+        reportDuringChange(GROUP_RECORD.copy(epoch = 2, replicas = replicas), listOf(NEAR_REPLICA))
+        expectThat(requestsPromoterLock()).isFalse()
     }
 
     @Test
-    fun `a successor reaches what a replica that left may have held - guards against a lost acknowledged commit`() {
-        loseFarReplica()
-        waiting.pass(4_000)
-        report(GROUP_RECORD.copy(epoch = 2, floor = Position(Term(1), 11)), listOf(NEAR_REPLICA))
-        expectThat(ordersPromotion()).isFalse()
+    fun `a successor must reach the floor of removed replicas - guards against a lost acknowledged commit`() {
+        removeFarReplica()
+        syncProxy.pass(4_000)
+        reportDuringChange(GROUP_RECORD.copy(epoch = 2, floor = Position(Term(1), 11)), listOf(NEAR_REPLICA))
+        expectThat(requestsPromoterLock()).isFalse()
     }
 
     @Test
-    fun `the intent names the replicas that may hold acknowledged commits - guards against their loss at a restart`() {
-        loseFarReplica()
+    fun `the intent lists the replicas that may hold acknowledged commits - guards against their loss at a restart`() {
+        removeFarReplica()
         val leaving = SERVERS.map { if (it.name == PRIMARY) server(PRIMARY, EAST, ServerRole.PRIMARY, true) else it }
-        waiting.feed(SessionEvent.ServersRead(leaving.filter { it.name != FAR_REPLICA }.associateBy { it.name }))
-        waiting.take()
-        waiting.pass(200)
-        val intents = waiting.take().filterIsInstance<SessionEffect.WriteFleet>().map { it.record }
+        syncProxy.feed(SessionEvent.ServersRead(leaving.filter { it.name != FAR_REPLICA }.associateBy { it.name }))
+        syncProxy.take()
+        syncProxy.pass(200)
+        val intents = syncProxy.take().filterIsInstance<SessionEffect.WriteFleet>().map { it.record }
         expectThat(intents).contains(
-            GROUP_RECORD.copy(epoch = 2, changedBy = waiting.peers.first(), replicas = replicas),
+            GROUP_RECORD.copy(epoch = 2, changedBy = syncProxy.peers.first(), replicas = replicas),
         )
     }
 
     @Test
-    fun `a primary that returns under another name stays in office - guards against an outage beside its log`() {
+    fun `a primary that returns under another name is kept - guards against an outage while its log is available`() {
         val returned = server(ServerName("server-4"), EAST, ServerRole.PRIMARY)
-        waiting.feed(SessionEvent.ServersRead(listOf(SERVERS[1], returned).associateBy { it.name }))
-        report(GROUP_RECORD.copy(epoch = 2, replicas = replicas), listOf(NEAR_REPLICA))
-        val leads = ServerStatus(ServerRole.PRIMARY, Term(1), Position(Term(1), 12))
-        waiting.feed(SessionEvent.ControlAnswered(returned.name, ControlRequest.Pause(2), leads))
-        val published = waiting.take().filterIsInstance<SessionEffect.WriteFleet>().map { it.record }
+        syncProxy.feed(SessionEvent.ServersRead(listOf(SERVERS[1], returned).associateBy { it.name }))
+        reportDuringChange(GROUP_RECORD.copy(epoch = 2, replicas = replicas), listOf(NEAR_REPLICA))
+        val leading = ServerStatus(ServerRole.PRIMARY, Term(1), Position(Term(1), 12))
+        syncProxy.feed(SessionEvent.ControlAnswered(returned.name, ControlRequest.Pause(2), leading))
+        val published = syncProxy.take().filterIsInstance<SessionEffect.WriteFleet>().map { it.record }
         expectThat(published).contains(GROUP_RECORD.copy(epoch = 2, primary = returned.name))
     }
 
     @Test
-    fun `a group whose commits are lost for good gets a successor at last - guards against an endless outage`() {
-        val intent = GROUP_RECORD.copy(epoch = 2, changedBy = waiting.peers.first(), replicas = replicas)
-        report(intent, listOf(NEAR_REPLICA))
+    fun `a group finally gets a successor that may lack commits - guards against an endless outage`() {
+        val intent = GROUP_RECORD.copy(epoch = 2, changedBy = syncProxy.peers.first(), replicas = replicas)
+        reportDuringChange(intent, listOf(NEAR_REPLICA))
         repeat(20) {
-            waiting.readFleet(waiting.records(intent))
-            waiting.pass(1_000)
+            syncProxy.readFleet(syncProxy.records(intent))
+            syncProxy.pass(1_000)
         }
-        expectThat(ordersPromotion()).isTrue()
+        expectThat(requestsPromoterLock()).isTrue()
     }
 
     @Test
-    fun `half of the proxies replace no primary that the others may reach - guards against an outage during a split`() {
+    fun `half of the proxies keep a primary that others may reach - guards against an outage in a network partition`() {
         val proxy = ProxyFixture(proxies = 4).ready()
         proxy.send(proxy.session(1, SIGN_OFFS), WRITE)
         repeat(4) {
@@ -345,7 +345,7 @@
     }
 
     @Test
-    fun `a primary that most proxies do not reach is replaced`() {
+    fun `a primary that most proxies cannot reach is replaced`() {
         proxy.send(proxy.session(1, SIGN_OFFS), WRITE)
         repeat(3) {
             proxy.pass(1_000)
@@ -358,7 +358,7 @@
     }
 
     @Test
-    fun `a lease is renewed through a peer while the store turns the proxy away`() {
+    fun `a lease is renewed through a peer while the store rejects the proxy's reads`() {
         proxy.now += 9_000
         proxy.feed(SessionEvent.FleetReadFailed("status 503"))
         val asked = effects<SessionEffect.AskPeer>().single { it.request is PeerRequest.ReadFleet }
