--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ConnectionCheckout.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ConnectionCheckout.kt
@@ -9,10 +9,10 @@
 import dev.hibiscusreach.sessions.state.PendingStatement
 import dev.hibiscusreach.sessions.state.ServerConnection
 
-/** Gives connections to sessions, sends on them and takes them back. */
+/** Checks pooled connections out to sessions, sends statements on them and returns them to the pool. */
 internal object ConnectionCheckout {
-    /** The connection that a pending statement uses, if it uses one. */
-    fun heldBy(pending: PendingStatement?): ConnectionNumber? =
+    /** The connection that a pending statement uses, or null if it has none. */
+    fun connectionOf(pending: PendingStatement?): ConnectionNumber? =
         when (val phase = pending?.phase) {
             is PendingStatement.Phase.Beginning -> phase.connection
             is PendingStatement.Phase.Sent -> phase.connection
@@ -20,36 +20,39 @@
             is PendingStatement.Phase.Waiting, null -> null
         }
 
-    /** Sends statements and remembers what their answers belong to. */
-    fun send(turn: Reduction, connection: ServerConnection, statements: List<Pair<Purpose, ServerStatement>>) {
-        val primary = PrimaryStatus.usable(turn, turn.group(connection.group)) == connection.server
-        val outstanding = statements.map { (purpose, _) -> OutstandingStatement(purpose, turn.now, primary) }
-        val all = connection.outstanding.addAll(outstanding)
-        ConnectionPools.put(turn, connection.copy(outstanding = all, usedAt = turn.now))
-        ServerHealthTracking.asked(turn, connection.server)
-        turn.emit(SessionEffect.SendStatements(connection.number, statements.map { it.second }))
+    /** Sends statements and records their purposes, so that each answer can be matched to its statement. */
+    fun send(reduction: Reduction, connection: ServerConnection, statements: List<Pair<Purpose, ServerStatement>>) {
+        val toPrimary = PrimaryStatus.usable(reduction, reduction.group(connection.group)) == connection.server
+        val outstanding = statements.map { (purpose, _) -> OutstandingStatement(purpose, reduction.now, toPrimary) }
+        val allOutstanding = connection.outstanding.addAll(outstanding)
+        ConnectionPools.put(reduction, connection.copy(outstanding = allOutstanding, usedAt = reduction.now))
+        ServerHealthTracking.recordRequest(reduction, connection.server)
+        reduction.emit(SessionEffect.SendStatements(connection.number, statements.map { it.second }))
     }
 
-    /** Takes a connection back from a session after its transaction or statement has ended. */
-    fun release(turn: Reduction, number: ConnectionNumber) {
-        val connection = turn.state.connections[number] ?: return
-        ConnectionPools.put(turn, connection.copy(heldBy = null))
+    /** Returns a connection to the pool after the transaction or statement that held it has ended. */
+    fun release(reduction: Reduction, number: ConnectionNumber) {
+        val connection = reduction.state.connections[number] ?: return
+        ConnectionPools.put(reduction, connection.copy(heldBy = null))
     }
 
-    /** Rolls back what is open on a connection and takes it back. */
-    fun rollback(turn: Reduction, number: ConnectionNumber) {
-        val connection = turn.state.connections[number] ?: return
-        send(turn, connection.copy(heldBy = null), listOf(Purpose.ROLLBACK to ServerStatement.Rollback))
+    /** Rolls back the open transaction on a connection and returns the connection to the pool. */
+    fun rollback(reduction: Reduction, number: ConnectionNumber) {
+        val connection = reduction.state.connections[number] ?: return
+        send(reduction, connection.copy(heldBy = null), listOf(Purpose.ROLLBACK to ServerStatement.Rollback))
     }
 
-    /** Takes a connection back from a session that has gone. */
-    fun abandon(turn: Reduction, number: ConnectionNumber, rollback: Boolean) {
-        val connection = turn.state.connections[number] ?: return
-        val begins = connection.outstanding.any { it.purpose == Purpose.BEGIN }
-        if (rollback || begins) rollback(turn, number) else release(turn, number)
+    /**
+     * Returns the connection of a session that has ended to the pool. An outstanding begin is rolled back as well,
+     * since it opens a transaction.
+     */
+    fun reclaim(reduction: Reduction, number: ConnectionNumber, rollback: Boolean) {
+        val connection = reduction.state.connections[number] ?: return
+        val beginOutstanding = connection.outstanding.any { it.purpose == Purpose.BEGIN }
+        if (rollback || beginOutstanding) rollback(reduction, number) else release(reduction, number)
     }
 
-    /** Gives a connection to a session. */
-    fun hold(turn: Reduction, connection: ServerConnection, session: SessionNumber): ServerConnection =
-        connection.copy(heldBy = session).also { ConnectionPools.put(turn, it) }
+    /** Checks a connection out to a session. */
+    fun checkOut(reduction: Reduction, connection: ServerConnection, session: SessionNumber): ServerConnection =
+        connection.copy(heldBy = session).also { ConnectionPools.put(reduction, it) }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ConnectionPools.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ConnectionPools.kt
@@ -8,83 +8,87 @@
 import dev.hibiscusreach.sessions.state.ServerConnection
 import kotlinx.collections.immutable.persistentSetOf
 
-/** The connections to servers. */
+/** The pools of connections to backend servers, one pool for each server. */
 internal object ConnectionPools {
-    /** More are opened as statements wait. */
-    private const val WARM_CONNECTIONS = 1
+    /** Connections to a server that are opened in advance and kept while idle; waiting statements open more. */
+    private const val MIN_CONNECTIONS = 1
 
-    /** All connections to a server. */
-    fun connections(turn: Reduction, server: ServerName): List<ServerConnection> =
-        turn.state.pools[server]
-            ?.mapNotNull { turn.state.connections[it] }
+    /** All connections to a server, including those that are still being opened. */
+    fun connections(reduction: Reduction, server: ServerName): List<ServerConnection> =
+        reduction.state.pools[server]
+            ?.mapNotNull { reduction.state.connections[it] }
             .orEmpty()
 
-    /** Connections that this proxy may have to [server]: an equal share for each running proxy. */
-    fun limit(turn: Reduction, server: RegisteredServer): Int {
-        val rule = turn.state.configuration?.groups?.get(server.group) ?: return 0
-        val proxies = turn.state.fleet.members.size
-        val shared = rule.connectionLimit * turn.settings.connections.sharePercent / FULL_PERCENT
-        return maxOf(1, shared / maxOf(1, proxies))
+    /**
+     * Maximum number of connections of this proxy to [server]: an equal share, for each running proxy, of the usable
+     * percentage of the group's limit; at least 1, but 0 for a group without configuration.
+     */
+    fun maxConnections(reduction: Reduction, server: RegisteredServer): Int {
+        val rule = reduction.state.configuration?.groups?.get(server.group) ?: return 0
+        val proxies = reduction.state.fleet.members.size
+        val fleetLimit = rule.connectionLimit * reduction.settings.connections.sharePercent / FULL_PERCENT
+        return maxOf(1, fleetLimit / maxOf(1, proxies))
     }
 
-    /** Opens a connection unless the limit or a pause forbids it. */
-    fun open(turn: Reduction, server: RegisteredServer): Boolean {
-        val full = connections(turn, server.name).size >= limit(turn, server)
-        if (full || ServerHealthTracking.isPaused(turn, server.name)) return false
-        val number = ConnectionNumber(turn.state.nextConnection)
-        put(turn, ServerConnection(number, server.name, server.group))
-        turn.state = turn.state.copy(nextConnection = turn.state.nextConnection + 1)
-        ServerHealthTracking.asked(turn, server.name)
-        turn.count(SessionCounter.CONNECTIONS, "opened")
-        turn.emit(SessionEffect.OpenConnection(number, server))
+    /** Opens a connection unless the pool is full or connects to the server are paused; returns whether it does. */
+    fun open(reduction: Reduction, server: RegisteredServer): Boolean {
+        val isFull = connections(reduction, server.name).size >= maxConnections(reduction, server)
+        if (isFull || ServerHealthTracking.isConnectPaused(reduction, server.name)) return false
+        val number = ConnectionNumber(reduction.state.nextConnection)
+        put(reduction, ServerConnection(number, server.name, server.group))
+        reduction.state = reduction.state.copy(nextConnection = reduction.state.nextConnection + 1)
+        ServerHealthTracking.recordRequest(reduction, server.name)
+        reduction.count(SessionCounter.CONNECTIONS, "opened")
+        reduction.emit(SessionEffect.OpenConnection(number, server))
         return true
     }
 
-    /** Opens the first connections to the primary and to the nearest server of each group, before callers need them. */
-    fun warm(turn: Reduction) {
-        val servers = turn.state.servers.values.map { it.server }.filter { !it.leaving }
+    /** Opens connections to the primary and to the nearest server of each group before callers need them. */
+    fun warmUp(reduction: Reduction) {
+        val servers = reduction.state.servers.values.map { it.server }.filter { !it.leaving }
         for ((name, members) in servers.groupBy { it.group }) {
-            val primary = members.find { it.name == turn.group(name).record?.primary }
-            val nearest = members.minByOrNull { ServerSelection.cost(turn, it).value }
+            val primary = members.find { it.name == reduction.group(name).record?.primary }
+            val nearest = members.minByOrNull { ServerSelection.cost(reduction, it).value }
             listOfNotNull(primary, nearest).distinct().forEach { server ->
-                if (connections(turn, server.name).size < WARM_CONNECTIONS) open(turn, server)
+                if (connections(reduction, server.name).size < MIN_CONNECTIONS) open(reduction, server)
             }
         }
     }
 
-    /** Closes connections that have not been needed lately, but for one of each server. */
-    fun trim(turn: Reduction) {
-        val limit = turn.settings.connections.idleTimeout
-        for (server in turn.state.pools.keys) {
-            val pool = connections(turn, server)
-            val spare = pool.find { it.idle && turn.now - (it.usedAt ?: turn.now) > limit }
-            if (spare != null && pool.size > WARM_CONNECTIONS) close(turn, spare)
+    /** Closes one connection of each pool that has exceeded the idle timeout, unless it is the last one of its pool. */
+    fun evictIdle(reduction: Reduction) {
+        val idleTimeout = reduction.settings.connections.idleTimeout
+        for (server in reduction.state.pools.keys) {
+            val pool = connections(reduction, server)
+            val expired = pool.find { it.idle && reduction.now - (it.usedAt ?: reduction.now) > idleTimeout }
+            if (expired != null && pool.size > MIN_CONNECTIONS) close(reduction, expired)
         }
     }
 
-    fun put(turn: Reduction, connection: ServerConnection) {
-        val state = turn.state
+    /** Stores a connection and adds it to the pool of its server. */
+    fun put(reduction: Reduction, connection: ServerConnection) {
+        val state = reduction.state
         val pool = (state.pools[connection.server] ?: persistentSetOf()).add(connection.number)
-        turn.state =
+        reduction.state =
             state.copy(
                 connections = state.connections.put(connection.number, connection),
                 pools = state.pools.put(connection.server, pool),
             )
     }
 
-    /** Forgets a connection that is closed. */
-    fun remove(turn: Reduction, connection: ServerConnection) {
-        val state = turn.state
+    /** Removes a connection that is already closed. */
+    fun remove(reduction: Reduction, connection: ServerConnection) {
+        val state = reduction.state
         val pool = state.pools[connection.server]?.remove(connection.number) ?: persistentSetOf()
         val pools =
             if (pool.isEmpty()) state.pools.remove(connection.server) else state.pools.put(connection.server, pool)
-        turn.state = state.copy(connections = state.connections.remove(connection.number), pools = pools)
+        reduction.state = state.copy(connections = state.connections.remove(connection.number), pools = pools)
     }
 
-    /** Closes a connection; the server rolls back what is open on it. */
-    fun close(turn: Reduction, connection: ServerConnection) {
-        remove(turn, connection)
-        turn.count(SessionCounter.CONNECTIONS, "closed")
-        turn.emit(SessionEffect.CloseConnection(connection.number))
+    /** Closes a connection; the server rolls back its open transaction. */
+    fun close(reduction: Reduction, connection: ServerConnection) {
+        remove(reduction, connection)
+        reduction.count(SessionCounter.CONNECTIONS, "closed")
+        reduction.emit(SessionEffect.CloseConnection(connection.number))
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/Reduction.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/Reduction.kt
@@ -14,49 +14,59 @@
 import dev.hibiscusreach.sessions.state.Transaction
 import kotlinx.collections.immutable.mutate
 
-/** The reduction of one event: the state so far and the effects so far. */
+/** Mutable context for reducing one event: the current state and the effects emitted so far. */
 internal class Reduction(var state: SessionProxyState, val now: MonotonicTime) {
-    private val collected = mutableListOf<SessionEffect>()
+    private val emitted = mutableListOf<SessionEffect>()
 
-    /** The effects so far, in order. */
-    val effects: List<SessionEffect> get() = collected
+    /** The emitted effects, in order. */
+    val effects: List<SessionEffect> get() = emitted
 
+    /** The settings of the current state. */
     val settings get() = state.settings
 
+    /** Appends an effect. */
     fun emit(effect: SessionEffect) {
-        collected += effect
+        emitted += effect
     }
 
+    /** Emits a log line with [fields] in the given order. */
     fun log(message: String, vararg fields: Pair<String, Any?>, level: LogLevel = LogLevel.INFO) =
         emit(SessionEffect.Log(level, message, linkedMapOf(*fields)))
 
+    /** Emits an increment of [counter] under [label]. */
     fun count(counter: SessionCounter, label: String) = emit(SessionEffect.Count(counter, label))
 
+    /** The session with this number, or null after it has ended. */
     fun session(number: SessionNumber): Session? = state.sessions[number]
 
+    /** Stores a session and marks it active while it has a pending statement or a running transaction. */
     fun put(session: Session) {
         val isActive = session.pending != null || session.transaction is Transaction.Running
         val active = if (isActive) state.active.add(session.number) else state.active.remove(session.number)
         state = state.copy(sessions = state.sessions.put(session.number, session), active = active)
     }
 
+    /** The state of a group; an empty one if nothing is known of it. */
     fun group(name: GroupName): GroupView = state.groups[name] ?: GroupView(name)
 
+    /** Stores the state of a group. */
     fun put(group: GroupView) {
         state = state.copy(groups = state.groups.put(group.name, group))
     }
 
+    /** The observed health of a server; an empty one before the first observation. */
     fun health(server: ServerName): ServerHealth = state.health[server] ?: ServerHealth()
 
+    /** Replaces the health of a server with the result of [change]. */
     fun updateHealth(server: ServerName, change: (ServerHealth) -> ServerHealth) {
         state = state.copy(health = state.health.put(server, change(health(server))))
     }
 
-    /** Removes a session from the queue of [group]. */
-    fun stopWaiting(group: GroupName, session: SessionNumber) {
+    /** Removes a session from the queue of statements that wait for a connection in [group]. */
+    fun dequeue(group: GroupName, session: SessionNumber) {
         val queue = state.waiting[group] ?: return
-        val rest = queue.remove(session)
-        val queues = state.waiting.mutate { if (rest.isEmpty()) it.remove(group) else it[group] = rest }
+        val remaining = queue.remove(session)
+        val queues = state.waiting.mutate { if (remaining.isEmpty()) it.remove(group) else it[group] = remaining }
         state = state.copy(waiting = queues)
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerConnectionEvents.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerConnectionEvents.kt
@@ -11,80 +11,83 @@
 import dev.hibiscusreach.sessions.state.Session
 import dev.hibiscusreach.sessions.state.Transaction
 
-/** Handles connections that open, are refused, break, or are given up. */
+/** Handles server connections that are opened, refused, lost, or closed because of a fault. */
 internal object ServerConnectionEvents {
-    fun opened(turn: Reduction, event: SessionEvent.ConnectionOpened) {
-        val connection = turn.state.connections[event.connection] ?: return
-        ConnectionPools.put(turn, connection.copy(open = true, usedAt = turn.now))
-        ServerHealthTracking.answered(turn, connection.server)
-        turn.updateHealth(connection.server) {
-            if (it.connectPause != null) logReachable(turn, connection)
+    /** Marks a connection as open, ends the backoff of its server and serves waiting statements. */
+    fun opened(reduction: Reduction, event: SessionEvent.ConnectionOpened) {
+        val connection = reduction.state.connections[event.connection] ?: return
+        ConnectionPools.put(reduction, connection.copy(open = true, usedAt = reduction.now))
+        ServerHealthTracking.recordAnswer(reduction, connection.server)
+        reduction.updateHealth(connection.server) {
+            if (it.connectPause != null) logReachable(reduction, connection)
             it.copy(connectPause = null, connectAfter = null, refusedAt = null)
         }
-        StatementDispatch.serveWaiting(turn, connection.group)
+        StatementDispatch.serveWaiting(reduction, connection.group)
     }
 
-    fun refused(turn: Reduction, event: SessionEvent.ConnectionRefused) {
-        val connection = turn.state.connections[event.connection] ?: return
-        ConnectionPools.remove(turn, connection)
-        ServerHealthTracking.answered(turn, connection.server)
+    /** Removes a connection that the server refused and pauses connects to the server. */
+    fun refused(reduction: Reduction, event: SessionEvent.ConnectionRefused) {
+        val connection = reduction.state.connections[event.connection] ?: return
+        ConnectionPools.remove(reduction, connection)
+        ServerHealthTracking.recordAnswer(reduction, connection.server)
         if (event.failure == ServerFailure.CONNECTION_LIMIT) {
-            val after = turn.now + turn.settings.connections.connectionLimitPause
-            turn.updateHealth(connection.server) { it.copy(connectAfter = after) }
+            val after = reduction.now + reduction.settings.connections.connectionLimitPause
+            reduction.updateHealth(connection.server) { it.copy(connectAfter = after) }
         } else {
-            ServerHealthTracking.connectFailed(turn, connection.server)
+            ServerHealthTracking.recordConnectFailure(reduction, connection.server)
         }
-        turn.count(SessionCounter.CONNECTIONS, "refused")
-        turn.log(
+        reduction.count(SessionCounter.CONNECTIONS, "refused")
+        reduction.log(
             "connection refused by server",
             "server" to connection.server,
             "reason" to event.failure.name,
         )
-        if (event.failure == ServerFailure.WRONG_SERVER) ServerRegistry.forget(turn, connection.server)
+        if (event.failure == ServerFailure.WRONG_SERVER) ServerRegistry.remove(reduction, connection.server)
     }
 
-    fun lost(turn: Reduction, event: SessionEvent.ConnectionLost) {
-        val connection = turn.state.connections[event.connection] ?: return
-        ConnectionPools.remove(turn, connection)
-        turn.count(SessionCounter.CONNECTIONS, "lost")
-        turn.log(
+    /** Removes a lost connection, ends its transaction, and fails or retries the statement that used it. */
+    fun lost(reduction: Reduction, event: SessionEvent.ConnectionLost) {
+        val connection = reduction.state.connections[event.connection] ?: return
+        ConnectionPools.remove(reduction, connection)
+        reduction.count(SessionCounter.CONNECTIONS, "lost")
+        reduction.log(
             "connection lost",
             "server" to connection.server,
             "connection" to connection.number.value,
             "wasOpen" to connection.open,
             "reason" to event.failure.name,
         )
-        if (!connection.open) ServerHealthTracking.connectFailed(turn, connection.server)
+        if (!connection.open) ServerHealthTracking.recordConnectFailure(reduction, connection.server)
         if (event.failure == ConnectionFailure.REFUSED) {
-            turn.updateHealth(connection.server) { it.copy(refusedAt = turn.now) }
+            reduction.updateHealth(connection.server) { it.copy(refusedAt = reduction.now) }
         }
-        afterLoss(turn, connection)
-        StatementDispatch.serveWaiting(turn, connection.group)
+        failOrRetry(reduction, connection)
+        StatementDispatch.serveWaiting(reduction, connection.group)
     }
 
-    /** Closes a connection whose state is in doubt. */
-    fun closeBroken(turn: Reduction, connection: ServerConnection) {
-        ConnectionPools.close(turn, connection)
-        afterLoss(turn, connection)
+    /** Closes a connection in an unknown state; its transaction and statement are handled as for a lost connection. */
+    fun closeBroken(reduction: Reduction, connection: ServerConnection) {
+        ConnectionPools.close(reduction, connection)
+        failOrRetry(reduction, connection)
     }
 
-    private fun afterLoss(turn: Reduction, connection: ServerConnection) {
-        val session = connection.heldBy?.let { turn.session(it) } ?: return
+    private fun failOrRetry(reduction: Reduction, connection: ServerConnection) {
+        val session = connection.heldBy?.let { reduction.session(it) } ?: return
         val pending = session.pending
         val running = session.running
         when {
-            running != null && pending != null -> lostInTransaction(turn, session, pending, running)
+            running != null && pending != null -> failInTransaction(reduction, session, pending, running)
             running != null -> {
                 val message = "the transaction's server connection was lost"
                 val aborted = Transaction.Aborted(ErrorKind.TRANSACTION_ENDED, message)
-                turn.put(session.copy(transaction = aborted))
+                reduction.put(session.copy(transaction = aborted))
             }
-            pending != null -> lostStatement(turn, session, pending, connection)
+            pending != null -> failOrRetryStatement(reduction, session, pending, connection)
         }
     }
 
-    private fun lostInTransaction(
-        turn: Reduction,
+    private fun failInTransaction(
+        reduction: Reduction,
         session: Session,
         pending: PendingStatement,
         running: Transaction.Running,
@@ -92,32 +95,32 @@
         val sent = pending.phase is Phase.Sent
         val mayHaveCommitted = pending.commits && running.wrote && sent
         val kind = if (mayHaveCommitted) ErrorKind.OUTCOME_UNKNOWN else ErrorKind.TRANSACTION_ENDED
-        val next = session.copy(transaction = pending.transactionAfterFailure)
+        val updated = session.copy(transaction = pending.transactionAfterFailure)
         val message = "the transaction's server connection was lost"
-        SessionReplies.pending(turn, next, pending, SessionReplies.refusal(turn, next, kind, message))
+        SessionReplies.pending(reduction, updated, pending, SessionReplies.refusal(reduction, updated, kind, message))
     }
 
-    private fun lostStatement(
-        turn: Reduction,
+    private fun failOrRetryStatement(
+        reduction: Reduction,
         session: Session,
         pending: PendingStatement,
         connection: ServerConnection,
     ) {
-        val harmless = pending.phase is Phase.Beginning || StatementFailures.isRead(session, pending)
+        val safeToRetry = pending.phase is Phase.Beginning || StatementFailures.isRead(session, pending)
         when {
-            !harmless -> {
+            !safeToRetry -> {
                 val message = "the server connection was lost before the write was answered"
-                val reply = SessionReplies.refusal(turn, session, ErrorKind.OUTCOME_UNKNOWN, message)
-                SessionReplies.pending(turn, session, pending, reply)
+                val reply = SessionReplies.refusal(reduction, session, ErrorKind.OUTCOME_UNKNOWN, message)
+                SessionReplies.pending(reduction, session, pending, reply)
             }
-            StatementFailures.hasTime(turn, pending) -> {
-                turn.count(SessionCounter.RETRIES, "connection-lost")
-                val next = pending.copy(excluded = pending.excluded + connection.server)
-                StatementDispatch.requeue(turn, session, next)
+            StatementFailures.hasTime(reduction, pending) -> {
+                reduction.count(SessionCounter.RETRIES, "connection-lost")
+                val retried = pending.copy(excluded = pending.excluded + connection.server)
+                StatementDispatch.requeue(reduction, session, retried)
             }
             else ->
                 StatementFailures.refuse(
-                    turn,
+                    reduction,
                     session,
                     pending,
                     ErrorKind.SERVER_UNREACHABLE,
@@ -126,6 +129,6 @@
         }
     }
 
-    private fun logReachable(turn: Reduction, connection: ServerConnection) =
-        turn.log("server reachable again", "server" to connection.server)
+    private fun logReachable(reduction: Reduction, connection: ServerConnection) =
+        reduction.log("server reachable again", "server" to connection.server)
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerHealthTracking.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerHealthTracking.kt
@@ -3,48 +3,48 @@
 import dev.hibiscusreach.core.model.Millis
 import dev.hibiscusreach.core.model.ServerName
 
-/** Notes what each exchange shows of a server's health. */
+/** Derives the health of each server from its answers, silences and failed connections. */
 internal object ServerHealthTracking {
-    /** Weight of the earlier durations against one new duration. */
-    private const val SMOOTHING = 7L
-
-    /** The server was sent something that it has to answer. */
-    fun asked(turn: Reduction, server: ServerName) =
-        turn.updateHealth(server) { it.copy(silentSince = it.silentSince ?: turn.now) }
-
-    /** The server answered something. */
-    fun answered(turn: Reduction, server: ServerName) =
-        turn.updateHealth(server) { it.copy(answeredAt = turn.now, silentSince = null) }
-
-    /** A statement took [duration] at the server. */
-    fun latency(turn: Reduction, server: ServerName, duration: Millis) =
-        turn.updateHealth(server) { health ->
-            val before = health.latency ?: duration
-            health.copy(latency = Millis((before.value * SMOOTHING + duration.value) / (SMOOTHING + 1)))
+    /** Weight of the previous average in the moving average of the latency; a new duration has weight 1. */
+    private const val PREVIOUS_WEIGHT = 7L
+
+    /** Records that a request was sent which the server has to answer. */
+    fun recordRequest(reduction: Reduction, server: ServerName) =
+        reduction.updateHealth(server) { it.copy(silentSince = it.silentSince ?: reduction.now) }
+
+    /** Records an answer of any kind. */
+    fun recordAnswer(reduction: Reduction, server: ServerName) =
+        reduction.updateHealth(server) { it.copy(answeredAt = reduction.now, silentSince = null) }
+
+    /** Adds the duration of a statement to the smoothed latency of the server. */
+    fun recordLatency(reduction: Reduction, server: ServerName, duration: Millis) =
+        reduction.updateHealth(server) { health ->
+            val previous = health.latency ?: duration
+            health.copy(latency = Millis((previous.value * PREVIOUS_WEIGHT + duration.value) / (PREVIOUS_WEIGHT + 1)))
         }
 
-    /** A connection to the server failed; the next one waits longer. */
-    fun connectFailed(turn: Reduction, server: ServerName) {
-        val limits = turn.settings.connections
-        turn.updateHealth(server) { health ->
+    /** Records a failed connect and doubles the backoff up to its maximum. */
+    fun recordConnectFailure(reduction: Reduction, server: ServerName) {
+        val limits = reduction.settings.connections
+        reduction.updateHealth(server) { health ->
             val pause = health.connectPause?.let { minOf(it * 2, limits.maxBackoff) } ?: limits.initialBackoff
-            health.copy(connectPause = pause, connectAfter = turn.now + pause)
+            health.copy(connectPause = pause, connectAfter = reduction.now + pause)
         }
     }
 
-    /** A replica lacked a position that a read needs. */
-    fun behind(turn: Reduction, server: ServerName) {
-        val until = turn.now + turn.settings.connections.laggingReplicaPause
-        turn.updateHealth(server) { it.copy(behindUntil = until) }
+    /** Records that a replica had not applied the position that a read needs. */
+    fun recordLag(reduction: Reduction, server: ServerName) {
+        val until = reduction.now + reduction.settings.connections.laggingReplicaPause
+        reduction.updateHealth(server) { it.copy(behindUntil = until) }
     }
 
-    /** Whether no new connection to the server is opened for now. */
-    fun isPaused(turn: Reduction, server: ServerName): Boolean =
-        turn.health(server).connectAfter?.let { turn.now < it } ?: false
+    /** Whether new connections to the server are paused. */
+    fun isConnectPaused(reduction: Reduction, server: ServerName): Boolean =
+        reduction.health(server).connectAfter?.let { reduction.now < it } ?: false
 
-    /** Whether the server has not answered for longer than a statement takes. */
-    fun isSilent(turn: Reduction, server: ServerName): Boolean {
-        val since = turn.health(server).silentSince
-        return since != null && turn.now - since > turn.settings.statements.silenceTimeout
+    /** Whether the server has left a request unanswered for longer than the silence timeout. */
+    fun isSilent(reduction: Reduction, server: ServerName): Boolean {
+        val since = reduction.health(server).silentSince
+        return since != null && reduction.now - since > reduction.settings.statements.silenceTimeout
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerRegistry.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerRegistry.kt
@@ -8,66 +8,67 @@
 import dev.hibiscusreach.sessions.state.KnownServer
 import kotlinx.collections.immutable.toPersistentMap
 
-/** Keeps the registered servers and the operators' configuration. */
+/** Maintains the registered servers and the operators' configuration. */
 internal object ServerRegistry {
-    /** Takes a newer configuration; an older one is ignored. */
-    fun configure(turn: Reduction, configuration: RoutingConfiguration) {
-        val before = turn.state.configuration?.version
+    /** Applies a newer configuration; an older one is ignored and logged. */
+    fun applyConfiguration(reduction: Reduction, configuration: RoutingConfiguration) {
+        val before = reduction.state.configuration?.version
         if (before == null || configuration.version > before) {
-            turn.state = turn.state.copy(configuration = configuration)
-            turn.log(
+            reduction.state = reduction.state.copy(configuration = configuration)
+            reduction.log(
                 "configuration in force",
                 "version" to configuration.version,
                 "before" to before,
                 "routes" to configuration.routes.size,
             )
-            SessionLifecycle.configured(turn)
+            SessionLifecycle.onConfigured(reduction)
         } else if (configuration.version < before) {
-            turn.log("older configuration ignored", "version" to configuration.version, "inForce" to before)
+            reduction.log("older configuration ignored", "version" to configuration.version, "inForce" to before)
         }
     }
 
-    fun read(turn: Reduction, event: SessionEvent.ServersRead) {
-        val before = turn.state.servers
+    /** Applies the server entries read from the store; a server without an entry stays until a timeout. */
+    fun read(reduction: Reduction, event: SessionEvent.ServersRead) {
+        val before = reduction.state.servers
         val present = event.servers.mapValues { (_, server) -> KnownServer(server) }
         val missing =
             before
                 .filterKeys { it !in event.servers }
-                .mapValues { (_, known) -> known.copy(missingSince = known.missingSince ?: turn.now) }
-        turn.state = turn.state.copy(servers = (missing + present).toPersistentMap(), serversKnown = true)
+                .mapValues { (_, known) -> known.copy(missingSince = known.missingSince ?: reduction.now) }
+        reduction.state = reduction.state.copy(servers = (missing + present).toPersistentMap(), serversKnown = true)
         event.servers.values.forEach {
-            noteChange(turn, before[it.name]?.server, it)
-            DepartedReplicas.present(turn, it)
+            handleEntry(reduction, before[it.name]?.server, it)
+            DepartedReplicas.present(reduction, it)
         }
         missing.values
-            .filter { it.missingSince == turn.now }
-            .forEach { noteMissing(turn, it.server) }
+            .filter { it.missingSince == reduction.now }
+            .forEach { handleMissingEntry(reduction, it.server) }
     }
 
-    /** Removes servers whose entry has been missing for too long. */
-    fun review(turn: Reduction) {
-        val limit = turn.settings.connections.missingEntryTimeout
-        turn.state.servers.values
-            .filter { known -> known.missingSince?.let { turn.now - it > limit } ?: false }
-            .forEach { forget(turn, it.server.name) }
+    /** Removes servers whose entry has been missing for longer than the timeout. */
+    fun review(reduction: Reduction) {
+        val timeout = reduction.settings.connections.missingEntryTimeout
+        reduction.state.servers.values
+            .filter { known -> known.missingSince?.let { reduction.now - it > timeout } ?: false }
+            .forEach { remove(reduction, it.server.name) }
     }
 
-    /** Removes a server and its unused connections. */
-    fun forget(turn: Reduction, name: ServerName) {
-        val known = turn.state.servers[name] ?: return
-        turn.log("server removed", "server" to name, "group" to known.server.group)
-        turn.state = turn.state.copy(servers = turn.state.servers.remove(name))
-        closeIdle(turn, name)
+    /** Removes a server and closes its connections that no session holds. */
+    fun remove(reduction: Reduction, name: ServerName) {
+        val known = reduction.state.servers[name] ?: return
+        reduction.log("server removed", "server" to name, "group" to known.server.group)
+        reduction.state = reduction.state.copy(servers = reduction.state.servers.remove(name))
+        closeUnheldConnections(reduction, name)
     }
 
-    private fun noteMissing(turn: Reduction, server: RegisteredServer) {
-        turn.log("server entry missing", "server" to server.name, "group" to server.group)
-        DepartedReplicas.missing(turn, server)
+    private fun handleMissingEntry(reduction: Reduction, server: RegisteredServer) {
+        reduction.log("server entry missing", "server" to server.name, "group" to server.group)
+        DepartedReplicas.missing(reduction, server)
     }
 
-    private fun noteChange(turn: Reduction, before: RegisteredServer?, after: RegisteredServer) {
+    private fun handleEntry(reduction: Reduction, before: RegisteredServer?, after: RegisteredServer) {
         if (before == after) return
-        turn.log(
+        reduction.log(
             "server entry",
             "server" to after.name,
             "group" to after.group,
@@ -78,16 +79,16 @@
         val restarted = before != null &&
             (before.startedAtMillis != after.startedAtMillis || before.endpoint != after.endpoint)
         if (restarted) {
-            closeIdle(turn, after.name)
-            turn.updateHealth(after.name) { it.copy(connectAfter = null, connectPause = null, silentSince = null) }
+            closeUnheldConnections(reduction, after.name)
+            reduction.updateHealth(after.name) { it.copy(connectAfter = null, connectPause = null, silentSince = null) }
         }
     }
 
-    private fun closeIdle(turn: Reduction, name: ServerName) =
+    private fun closeUnheldConnections(reduction: Reduction, name: ServerName) =
         ConnectionPools
-            .connections(turn, name)
+            .connections(reduction, name)
             .filter { it.heldBy == null }
-            .forEach { ConnectionPools.close(turn, it) }
+            .forEach { ConnectionPools.close(reduction, it) }
 }
 
 /** The registered servers of [group]. */
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerSelection.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerSelection.kt
@@ -11,79 +11,83 @@
 import dev.hibiscusreach.sessions.state.Session
 import dev.hibiscusreach.sessions.state.Transaction
 
-/** A server that can take a statement, and the position that it must have applied. */
+/** A server that can run a statement, and the position that it must have applied; null if there is no minimum. */
 internal data class ServerCandidate(val server: RegisteredServer, val minimumPosition: Position?)
 
-/** Chooses servers for statements. */
+/** Selects the servers that can run a statement. */
 internal object ServerSelection {
-    /** The servers that can take the pending statement, the best one first. */
-    fun candidates(turn: Reduction, session: Session, pending: PendingStatement): List<ServerCandidate> {
-        val group = turn.group(pending.route.group)
-        val primary = primary(turn, group, session, pending)
+    /** The servers that can run the pending statement, in order of ascending cost. */
+    fun candidates(reduction: Reduction, session: Session, pending: PendingStatement): List<ServerCandidate> {
+        val group = reduction.group(pending.route.group)
+        val primary = primaryCandidate(reduction, group, session, pending)
         if (needsPrimary(session, pending)) return listOfNotNull(primary)
-        val position = PrimaryStatus.minimumPosition(turn, session, pending)
-        val replicas = if (position == null) emptyList() else replicas(turn, group, pending, position)
+        val position = PrimaryStatus.minimumPosition(reduction, session, pending)
+        val replicas = if (position == null) emptyList() else replicaCandidates(reduction, group, pending, position)
         return (replicas + listOfNotNull(primary))
             .distinctBy { it.server.name }
-            .sortedBy { cost(turn, it.server).value }
+            .sortedBy { cost(reduction, it.server).value }
     }
 
-    /** Whether only the primary can take the statement. */
+    /** Whether only the primary can run the statement. */
     fun needsPrimary(session: Session, pending: PendingStatement): Boolean =
         when (val transaction = session.transaction) {
             is Transaction.Begun -> !transaction.readOnly || pending.route.consistency is Consistency.Primary
             else -> pending.access == Access.WRITE || pending.route.consistency is Consistency.Primary
         }
 
-    /** Expected duration of a statement at [server], with a penalty for the distance. */
-    fun cost(turn: Reduction, server: RegisteredServer): Millis {
-        val limits = turn.settings.connections
-        val place = turn.state.self
-        val distance =
+    /**
+     * Expected duration of a statement at [server]: the smoothed latency times one more than the number of connections
+     * in use, plus a penalty if the server is in another failure domain or region.
+     */
+    fun cost(reduction: Reduction, server: RegisteredServer): Millis {
+        val limits = reduction.settings.connections
+        val self = reduction.state.self
+        val distancePenalty =
             when {
-                server.failureDomain == place.failureDomain -> Millis(0)
-                place.regions[server.failureDomain] == place.regions[place.failureDomain] -> limits.domainPenalty
+                server.failureDomain == self.failureDomain -> Millis(0)
+                self.regions[server.failureDomain] == self.regions[self.failureDomain] -> limits.domainPenalty
                 else -> limits.regionPenalty
             }
-        val latency = turn.health(server.name).latency ?: limits.expectedLatency
-        val busy = ConnectionPools.connections(turn, server.name).count { it.heldBy != null }
-        return distance + Millis(latency.value * (busy + 1))
+        val latency = reduction.health(server.name).latency ?: limits.expectedLatency
+        val held = ConnectionPools.connections(reduction, server.name).count { it.heldBy != null }
+        return distancePenalty + Millis(latency.value * (held + 1))
     }
 
-    // An excluded primary stays a candidate for what no other server can take.
-    private fun primary(
-        turn: Reduction,
+    // An excluded or unreachable primary stays a candidate for statements that no other server can run.
+    private fun primaryCandidate(
+        reduction: Reduction,
         group: GroupView,
         session: Session,
         pending: PendingStatement,
     ): ServerCandidate? {
-        val margin = if (pending.access == Access.WRITE) turn.settings.leases.writeMargin else Millis(0)
-        val name = PrimaryStatus.usable(turn, group, margin) ?: return null
-        val only = needsPrimary(session, pending)
-        return turn.state
+        val margin = if (pending.access == Access.WRITE) reduction.settings.leases.writeMargin else Millis(0)
+        val name = PrimaryStatus.usable(reduction, group, margin) ?: return null
+        val primaryOnly = needsPrimary(session, pending)
+        return reduction.state
             .server(name)
-            ?.takeIf { only || isReachable(turn, name) && name !in pending.excluded }
+            ?.takeIf { primaryOnly || isReachable(reduction, name) && name !in pending.excluded }
             ?.let { ServerCandidate(it, minimumPosition = null) }
     }
 
-    private fun replicas(
-        turn: Reduction,
+    private fun replicaCandidates(
+        reduction: Reduction,
         group: GroupView,
         pending: PendingStatement,
         position: Position,
     ): List<ServerCandidate> =
         SuccessorChoice
-            .replicas(turn, group)
+            .replicas(reduction, group)
             .filter { !it.leaving && it.name !in pending.excluded }
-            .filter { isReachable(turn, it.name) && !isBehind(turn, it.name) }
+            .filter { isReachable(reduction, it.name) && !isLagging(reduction, it.name) }
             .map { ServerCandidate(it, position) }
 
-    private fun isBehind(turn: Reduction, name: ServerName) =
-        turn.health(name).behindUntil?.let { turn.now < it } ?: false
+    private fun isLagging(reduction: Reduction, name: ServerName) =
+        reduction.health(name).behindUntil?.let { reduction.now < it } ?: false
 
-    private fun isReachable(turn: Reduction, name: ServerName): Boolean {
-        val connects =
-            !ServerHealthTracking.isPaused(turn, name) || ConnectionPools.connections(turn, name).any { it.open }
-        return connects && !ServerHealthTracking.isSilent(turn, name)
+    private fun isReachable(reduction: Reduction, name: ServerName): Boolean {
+        val canConnect =
+            !ServerHealthTracking.isConnectPaused(reduction, name) ||
+                ConnectionPools.connections(reduction, name).any { it.open }
+        return canConnect && !ServerHealthTracking.isSilent(reduction, name)
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/SessionDraining.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/SessionDraining.kt
@@ -5,58 +5,62 @@
 import dev.hibiscusreach.sessions.state.Session
 import dev.hibiscusreach.sessions.state.Transaction
 
-/** Ends the process without interrupting statements. */
+/** Drains the sessions before the process exits, so that only a drain that exceeds its limit interrupts statements. */
 internal object SessionDraining {
-    fun begin(turn: Reduction) {
-        if (turn.state.stoppingSince != null) return
-        turn.log("stop requested", "sessions" to turn.state.sessions.size)
-        turn.state = turn.state.copy(stoppingSince = turn.now)
+    /** Starts the drain; repeated requests have no effect. */
+    fun begin(reduction: Reduction) {
+        if (reduction.state.stoppingSince != null) return
+        reduction.log("stop requested", "sessions" to reduction.state.sessions.size)
+        reduction.state = reduction.state.copy(stoppingSince = reduction.now)
     }
 
-    fun review(turn: Reduction) {
-        val since = turn.state.stoppingSince ?: return
-        if (turn.state.exited) return
-        val elapsed = turn.now - since
-        val drain = turn.settings.drain
-        if (elapsed >= drain.closeIdleAfter) closeIdle(turn)
-        if (elapsed >= drain.endTransactionsAfter) endTransactions(turn)
-        if (elapsed >= drain.closeIdleAfter && turn.state.sessions.isEmpty()) stopListening(turn)
-        val closed = turn.state.listeningUntil?.let { turn.now - it >= drain.exitDelay } ?: false
-        if (elapsed >= drain.exitAfter || closed && turn.state.sessions.isEmpty()) exit(turn)
+    /** Performs the steps of the drain that are due. */
+    fun review(reduction: Reduction) {
+        val since = reduction.state.stoppingSince ?: return
+        if (reduction.state.exited) return
+        val elapsed = reduction.now - since
+        val drain = reduction.settings.drain
+        if (elapsed >= drain.closeIdleAfter) closeIdleSessions(reduction)
+        if (elapsed >= drain.endTransactionsAfter) endTransactions(reduction)
+        if (elapsed >= drain.closeIdleAfter && reduction.state.sessions.isEmpty()) stopListening(reduction)
+        val exitDelayPassed = reduction.state.listeningUntil?.let { reduction.now - it >= drain.exitDelay } ?: false
+        if (elapsed >= drain.exitAfter || exitDelayPassed && reduction.state.sessions.isEmpty()) exit(reduction)
     }
 
-    // A session that is accepted between the last check and the end of the process would be cut.
-    private fun stopListening(turn: Reduction) {
-        if (turn.state.listeningUntil != null) return
-        turn.state = turn.state.copy(listeningUntil = turn.now)
-        turn.emit(SessionEffect.StopListening)
+    // Listening ends some time before the exit: a session accepted after the last check would be cut off by the exit.
+    private fun stopListening(reduction: Reduction) {
+        if (reduction.state.listeningUntil != null) return
+        reduction.state = reduction.state.copy(listeningUntil = reduction.now)
+        reduction.emit(SessionEffect.StopListening)
     }
 
-    private fun closeIdle(turn: Reduction) =
-        turn.state.sessions.values
+    private fun closeIdleSessions(reduction: Reduction) =
+        reduction.state.sessions.values
             .filter { it.pending == null && it.transaction is Transaction.None }
-            .forEach { close(turn, it) }
+            .forEach { close(reduction, it) }
 
-    private fun endTransactions(turn: Reduction) =
-        turn.state.active
-            .mapNotNull { turn.session(it) }
+    private fun endTransactions(reduction: Reduction) =
+        reduction.state.active
+            .mapNotNull { reduction.session(it) }
             .filter { it.pending == null }
             .forEach { session ->
                 val running = session.running
-                if (running != null) StatementDeadlines.endTransaction(turn, session, running, "the proxy is stopping")
+                if (running != null) {
+                    StatementDeadlines.endTransaction(reduction, session, running, "the proxy is stopping")
+                }
             }
 
-    private fun close(turn: Reduction, session: Session) {
-        turn.state = turn.state.copy(sessions = turn.state.sessions.remove(session.number))
-        turn.emit(SessionEffect.CloseSession(session.number))
+    private fun close(reduction: Reduction, session: Session) {
+        reduction.state = reduction.state.copy(sessions = reduction.state.sessions.remove(session.number))
+        reduction.emit(SessionEffect.CloseSession(session.number))
     }
 
-    private fun exit(turn: Reduction) {
-        val key = FleetKey.proxy(turn.state.self.identity.node)
-        val own = turn.state.fleet.records[key]
-        if (own != null) turn.emit(SessionEffect.DeleteFleet(key, own.revision))
-        turn.log("drained", "sessions" to turn.state.sessions.size)
-        turn.state = turn.state.copy(exited = true)
-        turn.emit(SessionEffect.Exit)
+    private fun exit(reduction: Reduction) {
+        val key = FleetKey.proxy(reduction.state.self.identity.node)
+        val ownRecord = reduction.state.fleet.records[key]
+        if (ownRecord != null) reduction.emit(SessionEffect.DeleteFleet(key, ownRecord.revision))
+        reduction.log("drained", "sessions" to reduction.state.sessions.size)
+        reduction.state = reduction.state.copy(exited = true)
+        reduction.emit(SessionEffect.Exit)
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/SessionSetup.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/SessionSetup.kt
@@ -6,25 +6,28 @@
 import kotlinx.collections.immutable.persistentMapOf
 import kotlinx.collections.immutable.persistentSetOf
 
-/** Brings the values and prepared shapes of a session to a connection that another session has used. */
+/** Restores a session's values and prepared statement on a pooled connection that another session may have used. */
 internal object SessionSetup {
-    /** The statements to send before [statement], and the connection as it is after them. */
+    /**
+     * The setup statements to send before [statement], and the state of the connection after them. Values of another
+     * session need a reset, which also clears the prepared statements.
+     */
     fun statements(
         connection: ServerConnection,
         session: Session,
         statement: ServerStatement?,
     ): Pair<ServerConnection, List<ServerStatement>> {
-        val foreign = connection.values.keys.any { it !in session.values }
+        val mustReset = connection.values.keys.any { it !in session.values }
         val base =
-            if (foreign) connection.copy(values = persistentMapOf(), prepared = persistentSetOf()) else connection
-        val reset = if (foreign) listOf(ServerStatement.Reset) else emptyList()
+            if (mustReset) connection.copy(values = persistentMapOf(), prepared = persistentSetOf()) else connection
+        val reset = if (mustReset) listOf(ServerStatement.Reset) else emptyList()
         val values =
             session.values
                 .filter { (name, value) -> base.values[name] != value }
                 .map { (name, value) -> ServerStatement.SetValue(name, value) }
-        val shape = (statement as? ServerStatement.Execute)?.prepared?.takeIf { it !in base.prepared }
-        val prepare = listOfNotNull(shape?.let { ServerStatement.Prepare(it) })
-        val prepared = if (shape == null) base.prepared else base.prepared.add(shape)
+        val unprepared = (statement as? ServerStatement.Execute)?.prepared?.takeIf { it !in base.prepared }
+        val prepare = listOfNotNull(unprepared?.let { ServerStatement.Prepare(it) })
+        val prepared = if (unprepared == null) base.prepared else base.prepared.add(unprepared)
         return base.copy(values = session.values, prepared = prepared) to reset + values + prepare
     }
 }
--- a/sessions/src/test/kotlin/dev/hibiscusreach/sessions/GracefulStopTest.kt
+++ b/sessions/src/test/kotlin/dev/hibiscusreach/sessions/GracefulStopTest.kt
@@ -12,11 +12,12 @@
 import strikt.assertions.isA
 import strikt.assertions.isFalse
 
+/** A graceful stop: readiness ends first, and the process exits only after late sessions are served. */
 class GracefulStopTest {
     private val proxy = ProxyFixture().ready()
 
     @Test
-    fun `a stopping proxy is not ready at once`() {
+    fun `a proxy stops being ready as soon as a stop is requested`() {
         proxy.feed(SessionEvent.StopRequested)
         expectThat(proxy.state.ready).isFalse()
     }
--- a/sessions/src/test/kotlin/dev/hibiscusreach/sessions/RestartLoadTest.kt
+++ b/sessions/src/test/kotlin/dev/hibiscusreach/sessions/RestartLoadTest.kt
@@ -16,7 +16,7 @@
 import strikt.assertions.isEqualTo
 import strikt.assertions.isGreaterThan
 
-/** The load after a restart, when many sessions arrive at once, and after a burst, when few connections are needed. */
+/** Load after a restart, when many sessions arrive at once, and after a burst, when few connections are needed. */
 class RestartLoadTest {
     private val proxy = ProxyFixture().ready()
 
@@ -32,7 +32,7 @@
         proxy.take().filterIsInstance<T>()
 
     @Test
-    fun `sessions that arrive before the configuration wait for it - guards against retries spent on a restart`() {
+    fun `sessions that arrive before the configuration wait for it - guards against retries after a restart`() {
         val started = ProxyFixture()
         (1L..3L).forEach { started.session(it, SIGN_OFFS) }
         started.session(4, DatabaseName("unknown"))
@@ -48,7 +48,7 @@
     }
 
     @Test
-    fun `sessions are refused at once while the store is lost - guards against callers that wait for nothing`() {
+    fun `sessions are refused at once while the store is lost - guards against pointless waits of callers`() {
         val started = ProxyFixture()
         started.session(1, SIGN_OFFS)
         started.feed(SessionEvent.FleetReadFailed("no answer"))
@@ -67,7 +67,7 @@
     }
 
     @Test
-    fun `spare connections are closed after a burst - guards against restarted hosts that find no room`() {
+    fun `idle connections are closed after a burst - guards against restarted hosts that hit the connection limit`() {
         (1L..8L).forEach { proxy.send(proxy.session(it, SIGN_OFFS), WRITE) }
         proxy.openAll()
         proxy.state.connections.values
@@ -82,7 +82,7 @@
     }
 
     @Test
-    fun `a statement that cannot be served in time is refused at once with a time to return`() {
+    fun `a statement that cannot be served in time is refused at once with a retry delay`() {
         (1L..8L).forEach { proxy.send(proxy.session(it, SIGN_OFFS), WRITE) }
         val refusals =
             (9L..400L).map { number ->
@@ -96,7 +96,7 @@
     }
 
     @Test
-    fun `a server at its connection limit is asked again soon`() {
+    fun `a server at its connection limit is tried again after a short pause`() {
         proxy.send(proxy.session(1, SIGN_OFFS), WRITE)
         proxy.send(proxy.session(2, SIGN_OFFS), WRITE)
         val opening = proxy.state.connections.values.first { !it.open }
