--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/FleetEvents.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/FleetEvents.kt
@@ -10,63 +10,66 @@
 import dev.hibiscusreach.sessions.model.PeerAnswer
 import dev.hibiscusreach.sessions.model.PeerRequest
 
-/** Hands events about the fleet, its records and its peers to the parts that they concern. */
+/** Dispatches events about fleet records, peers and server control to their handlers. */
 internal object FleetEvents {
-    fun handle(turn: Reduction, event: SessionEvent) {
+    /** Handles [event]; events of other kinds are ignored. */
+    fun handle(reduction: Reduction, event: SessionEvent) {
         when (event) {
-            is SessionEvent.FleetRead -> LeaseRenewal.read(turn, event)
-            is SessionEvent.FleetReadFailed -> LeaseRenewal.unreadable(turn, event)
-            is SessionEvent.FleetWritten -> written(turn, event.key, event.outcome)
-            is SessionEvent.PeerAsked -> asked(turn, event.number, event.request)
-            is SessionEvent.PeerAnswered -> answered(turn, event)
-            is SessionEvent.ControlAnswered -> control(turn, event)
-            is SessionEvent.PromotionAnswered -> PromoterLocking.answered(turn, event)
+            is SessionEvent.FleetRead -> LeaseRenewal.read(reduction, event)
+            is SessionEvent.FleetReadFailed -> LeaseRenewal.readFailed(reduction, event)
+            is SessionEvent.FleetWritten -> recordWritten(reduction, event.key, event.outcome)
+            is SessionEvent.PeerAsked -> peerAsked(reduction, event.number, event.request)
+            is SessionEvent.PeerAnswered -> peerAnswered(reduction, event)
+            is SessionEvent.ControlAnswered -> controlAnswered(reduction, event)
+            is SessionEvent.PromotionAnswered -> PromoterLocking.answered(reduction, event)
             else -> Unit
         }
     }
 
-    private fun written(turn: Reduction, key: FleetKey, outcome: WriteOutcome) {
-        val group = turn.state.groups.keys.find { FleetKey.group(it) == key }
+    private fun recordWritten(reduction: Reduction, key: FleetKey, outcome: WriteOutcome) {
+        val group = reduction.state.groups.keys.find { FleetKey.group(it) == key }
         when {
-            key == FleetKey.PROMOTER -> PromoterLocking.written(turn, outcome)
-            group != null -> PrimaryChanges.written(turn, group, outcome)
-            else -> LeaseRenewal.written(turn, key, outcome)
+            key == FleetKey.PROMOTER -> PromoterLocking.written(reduction, outcome)
+            group != null -> PrimaryChanges.written(reduction, group, outcome)
+            else -> LeaseRenewal.written(reduction, key, outcome)
         }
     }
 
-    private fun asked(turn: Reduction, number: PeerRequestNumber, request: PeerRequest) =
+    private fun peerAsked(reduction: Reduction, number: PeerRequestNumber, request: PeerRequest) =
         when (request) {
-            is PeerRequest.Fence -> PrimaryFencing.asked(turn, number, request)
+            is PeerRequest.Fence -> PrimaryFencing.asked(reduction, number, request)
             is PeerRequest.Sighting -> {
-                val age = turn.health(request.server).answeredAt?.let { (turn.now - it).value }
-                turn.emit(SessionEffect.AnswerPeer(number, PeerAnswer.Seen(age)))
+                val age = reduction.health(request.server).answeredAt?.let { (reduction.now - it).value }
+                reduction.emit(SessionEffect.AnswerPeer(number, PeerAnswer.Seen(age)))
             }
-            is PeerRequest.ReadFleet -> FleetReadRelay.asked(turn, number)
+            is PeerRequest.ReadFleet -> FleetReadRelay.readRequested(reduction, number)
             PeerRequest.Ping -> {
-                val answer = if (turn.state.fleet.storeLost) PeerAnswer.StoreLost else PeerAnswer.Done
-                turn.emit(SessionEffect.AnswerPeer(number, answer))
+                val answer = if (reduction.state.fleet.storeLost) PeerAnswer.StoreLost else PeerAnswer.Done
+                reduction.emit(SessionEffect.AnswerPeer(number, answer))
             }
             is PeerRequest.Publish -> {
-                GroupRecordAdoption.adopt(turn, GroupName(request.record.group), request.record, request.revision)
-                turn.emit(SessionEffect.AnswerPeer(number, PeerAnswer.Done))
+                GroupRecordAdoption.adopt(reduction, GroupName(request.record.group), request.record, request.revision)
+                reduction.emit(SessionEffect.AnswerPeer(number, PeerAnswer.Done))
             }
         }
 
-    private fun answered(turn: Reduction, event: SessionEvent.PeerAnswered) {
+    private fun peerAnswered(reduction: Reduction, event: SessionEvent.PeerAnswered) {
         when (val request = event.request) {
-            is PeerRequest.Fence -> ChangeFencing.fenced(turn, event, request)
-            is PeerRequest.Sighting -> PrimaryFailureDetection.reported(turn, event, request)
-            is PeerRequest.ReadFleet -> FleetReadRelay.answered(turn, event, request)
+            is PeerRequest.Fence -> ChangeFencing.fenced(reduction, event, request)
+            is PeerRequest.Sighting -> PrimaryFailureDetection.sightingAnswered(reduction, event, request)
+            is PeerRequest.ReadFleet -> FleetReadRelay.readAnswered(reduction, event, request)
             PeerRequest.Ping -> {
-                PeerMonitoring.answered(turn, event)
-                ChangeTakeover.changerAnswered(turn, event)
+                PeerMonitoring.pingAnswered(reduction, event)
+                ChangeTakeover.changerAnswered(reduction, event)
             }
             is PeerRequest.Publish -> Unit
         }
     }
 
-    private fun control(turn: Reduction, event: SessionEvent.ControlAnswered) {
-        val asksStatus = event.command is ControlRequest.Status || event.command is ControlRequest.Pause
-        if (asksStatus && !GroupMonitoring.statusOfFirst(turn, event)) SuccessorPromotion.reported(turn, event)
+    private fun controlAnswered(reduction: Reduction, event: SessionEvent.ControlAnswered) {
+        val returnsStatus = event.command is ControlRequest.Status || event.command is ControlRequest.Pause
+        if (returnsStatus && !GroupMonitoring.initialStatusAnswered(reduction, event)) {
+            SuccessorPromotion.reported(reduction, event)
+        }
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/FleetReadRelay.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/FleetReadRelay.kt
@@ -10,58 +10,60 @@
 import dev.hibiscusreach.sessions.model.PeerRequest
 
 /**
- * Reads the fleet's records through a peer while the store turns this proxy away. A read that a peer sends after it was
- * asked shows at least what a read of this proxy would have shown when it asked, so it renews the lease just as well.
+ * Reads the fleet records through a peer while this proxy cannot read the store. A read that a peer sends after the
+ * request is at least as recent as a read that this proxy had sent at the time of the request, so it renews the lease
+ * from that time.
  */
 internal object FleetReadRelay {
-    /** Asks one of the peers that answered lately. */
-    fun ask(turn: Reduction) {
-        val fleet = turn.state.fleet
-        val peers = PeerMonitoring.peers(turn).filter { (fleet.peers[it]?.misses ?: 0) == 0 }.sorted()
+    /** Requests the fleet records from a peer that answered its latest ping. */
+    fun requestRead(reduction: Reduction) {
+        val fleet = reduction.state.fleet
+        val peers = PeerMonitoring.peers(reduction).filter { (fleet.peers[it]?.misses ?: 0) == 0 }.sorted()
         if (!fleet.registered || peers.isEmpty()) return
         val peer = peers[fleet.nextPing % peers.size]
-        turn.state = turn.state.copy(fleet = fleet.copy(nextPing = fleet.nextPing + 1))
-        turn.emit(SessionEffect.AskPeer(peer, PeerRequest.ReadFleet(turn.now.millis)))
+        reduction.state = reduction.state.copy(fleet = fleet.copy(nextPing = fleet.nextPing + 1))
+        reduction.emit(SessionEffect.AskPeer(peer, PeerRequest.ReadFleet(reduction.now.millis)))
     }
 
-    /** A peer asks for the records; it is answered after the next read. */
-    fun asked(turn: Reduction, number: PeerRequestNumber) {
-        val fleet = turn.state.fleet
+    /** Handles a request of a peer for the records, which is answered after the next read. */
+    fun readRequested(reduction: Reduction, number: PeerRequestNumber) {
+        val fleet = reduction.state.fleet
         if (fleet.storeLost) {
-            turn.emit(SessionEffect.AnswerPeer(number, PeerAnswer.StoreLost))
+            reduction.emit(SessionEffect.AnswerPeer(number, PeerAnswer.StoreLost))
         } else {
-            turn.state = turn.state.copy(fleet = fleet.copy(relays = fleet.relays + (number to turn.now)))
-            LeaseRenewal.read(turn)
+            reduction.state =
+                reduction.state.copy(fleet = fleet.copy(relays = fleet.relays + (number to reduction.now)))
+            LeaseRenewal.read(reduction)
         }
     }
 
-    /** Answers the peers that asked before a read which was sent at [sentAt]. */
-    fun serve(turn: Reduction, sentAt: MonotonicTime) {
-        val fleet = turn.state.fleet
+    /** Answers the peers whose requests arrived no later than [sentAt], when the completed read was sent. */
+    fun answerWaiting(reduction: Reduction, sentAt: MonotonicTime) {
+        val fleet = reduction.state.fleet
         val (due, later) = fleet.relays.entries.partition { it.value <= sentAt }
         val answer = PeerAnswer.Fleet(fleet.records.mapKeys { it.key.value })
-        due.forEach { turn.emit(SessionEffect.AnswerPeer(it.key, answer)) }
-        turn.state = turn.state.copy(fleet = fleet.copy(relays = later.associate { it.key to it.value }))
+        due.forEach { reduction.emit(SessionEffect.AnswerPeer(it.key, answer)) }
+        reduction.state = reduction.state.copy(fleet = fleet.copy(relays = later.associate { it.key to it.value }))
     }
 
-    /** The store is lost: peers that wait are told so. */
-    fun refuse(turn: Reduction) {
-        val fleet = turn.state.fleet
-        fleet.relays.keys.forEach { turn.emit(SessionEffect.AnswerPeer(it, PeerAnswer.StoreLost)) }
-        turn.state = turn.state.copy(fleet = fleet.copy(relays = emptyMap()))
+    /** Answers all waiting peers that the store is lost. */
+    fun refuseWaiting(reduction: Reduction) {
+        val fleet = reduction.state.fleet
+        fleet.relays.keys.forEach { reduction.emit(SessionEffect.AnswerPeer(it, PeerAnswer.StoreLost)) }
+        reduction.state = reduction.state.copy(fleet = fleet.copy(relays = emptyMap()))
     }
 
-    /** Takes the records over that a peer has read. */
-    fun answered(turn: Reduction, event: SessionEvent.PeerAnswered, request: PeerRequest.ReadFleet) {
+    /** Adopts the records that a peer has read; ignored if the store is reachable again. */
+    fun readAnswered(reduction: Reduction, event: SessionEvent.PeerAnswered, request: PeerRequest.ReadFleet) {
         val answer = (event.outcome as? PeerOutcome.Answered)?.answer as? PeerAnswer.Fleet
-        val fleet = turn.state.fleet
+        val fleet = reduction.state.fleet
         val askedAt = MonotonicTime(request.askedAtMillis)
         if (answer == null || !fleet.storeLost) return
         val records = answer.records.mapKeys { FleetKey(it.key) }
-        val registered = LeaseRenewal.isRegistered(turn, records)
+        val registered = LeaseRenewal.isRegistered(reduction, records)
         val leaseFrom = if (registered) maxOf(askedAt, fleet.leaseFrom ?: askedAt) else fleet.leaseFrom
-        turn.log("lease renewed through peer", "peer" to event.peer, "registered" to registered)
-        turn.state = turn.state.copy(fleet = fleet.copy(records = records, leaseFrom = leaseFrom))
-        LeaseRenewal.adopt(turn, records)
+        reduction.log("lease renewed through peer", "peer" to event.peer, "registered" to registered)
+        reduction.state = reduction.state.copy(fleet = fleet.copy(records = records, leaseFrom = leaseFrom))
+        LeaseRenewal.adopt(reduction, records)
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/GroupMonitoring.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/GroupMonitoring.kt
@@ -13,89 +13,99 @@
 import dev.hibiscusreach.sessions.state.GroupView
 import dev.hibiscusreach.sessions.state.OutstandingStatement.Purpose
 
-/** Reviews each group: its first record, its head position, its fence and its primary. */
+/** Checks each group periodically: its initial record, head position, fence and primary. */
 internal object GroupMonitoring {
-    fun review(turn: Reduction) {
-        val configured = turn.state.configuration?.groups?.keys.orEmpty()
-        if (turn.state.ready) ConnectionPools.warm(turn)
-        ConnectionPools.trim(turn)
-        for (name in configured + turn.state.groups.keys) {
-            val group = turn.group(name)
-            if (group.record == null) firstRecord(turn, group) else inOffice(turn, group)
+    /** Runs the checks of all groups that are configured or known. */
+    fun review(reduction: Reduction) {
+        val configured = reduction.state.configuration?.groups?.keys.orEmpty()
+        if (reduction.state.ready) ConnectionPools.warm(reduction)
+        ConnectionPools.trim(reduction)
+        for (name in configured + reduction.state.groups.keys) {
+            val group = reduction.group(name)
+            if (group.record == null) discoverPrimary(reduction, group) else checkGroup(reduction, group)
         }
     }
 
-    /** Handles the status of a server that calls itself the primary of a group without a record. */
-    fun statusOfFirst(turn: Reduction, event: SessionEvent.ControlAnswered): Boolean {
-        val server = turn.state.server(event.server)
+    /**
+     * Handles a status answer from a server of a group without a record: a server that reports the primary role is
+     * recorded as the initial primary. Returns whether the answer was handled here.
+     */
+    fun initialStatusAnswered(reduction: Reduction, event: SessionEvent.ControlAnswered): Boolean {
+        val server = reduction.state.server(event.server)
         val status = event.status
-        if (server == null || turn.group(server.group).record != null) return false
-        if (status?.role == ServerRole.PRIMARY && turn.state.fleet.readAt != null) {
+        if (server == null || reduction.group(server.group).record != null) return false
+        if (status?.role == ServerRole.PRIMARY && reduction.state.fleet.readAt != null) {
             val record =
                 FleetRecord.Group(server.group.value, epoch = 1, term = status.term, primary = server.name)
-            turn.log("first primary", "group" to server.group, "primary" to server.name, "term" to status.term)
-            turn.emit(SessionEffect.WriteFleet(FleetKey.group(server.group), record, expectedRevision = null))
+            reduction.log(
+                "recording initial primary",
+                "group" to server.group,
+                "primary" to server.name,
+                "term" to status.term,
+            )
+            reduction.emit(SessionEffect.WriteFleet(FleetKey.group(server.group), record, expectedRevision = null))
         }
         return true
     }
 
-    private fun firstRecord(turn: Reduction, group: GroupView) {
-        val rank = ProxyRanking.own(turn, group.name)
-        val asked = group.statusAskedAt
+    private fun discoverPrimary(reduction: Reduction, group: GroupView) {
+        val rank = ProxyRanking.ownRank(reduction, group.name)
+        val askedAt = group.statusAskedAt
         when {
-            rank == null || turn.state.fleet.readAt == null -> Unit
-            // The others let the first proxy act, and follow if it does not.
-            asked == null && rank > 0 -> {
-                val delay = turn.settings.changes.rankDelay * rank
-                turn.put(group.copy(statusAskedAt = turn.now + delay))
+            rank == null || reduction.state.fleet.readAt == null -> Unit
+            // The proxy of rank 0 acts at once; the others act only if those that rank before them have not.
+            askedAt == null && rank > 0 -> {
+                val delay = reduction.settings.changes.rankDelay * rank
+                reduction.put(group.copy(statusAskedAt = reduction.now + delay))
             }
-            asked == null || turn.now - asked >= turn.settings.changes.retryPause -> askFirst(turn, group)
+            askedAt == null || reduction.now - askedAt >= reduction.settings.changes.retryPause ->
+                requestStatus(reduction, group)
         }
     }
 
-    private fun askFirst(turn: Reduction, group: GroupView) {
-        val primary = turn.servers(group.name).find { it.role == ServerRole.PRIMARY } ?: return
-        turn.put(group.copy(statusAskedAt = turn.now))
-        turn.emit(SessionEffect.SendControl(primary, ControlRequest.Status))
+    private fun requestStatus(reduction: Reduction, group: GroupView) {
+        val primary = reduction.servers(group.name).find { it.role == ServerRole.PRIMARY } ?: return
+        reduction.put(group.copy(statusAskedAt = reduction.now))
+        reduction.emit(SessionEffect.SendControl(primary, ControlRequest.Status))
     }
 
-    private fun inOffice(turn: Reduction, group: GroupView) {
-        probe(turn, group)
-        PrimaryFencing.settle(turn, group.name)
-        PrimaryFailureDetection.review(turn, group.name)
-        PrimaryChanges.review(turn, group.name)
+    private fun checkGroup(reduction: Reduction, group: GroupView) {
+        probe(reduction, group)
+        PrimaryFencing.settle(reduction, group.name)
+        PrimaryFailureDetection.review(reduction, group.name)
+        PrimaryChanges.review(reduction, group.name)
     }
 
-    // A fresh head position lets replicas serve reads with a bound, and shows that the primary answers.
-    private fun probe(turn: Reduction, group: GroupView) {
-        val primary = PrimaryStatus.usable(turn, group) ?: return
-        val age = group.heads.lastOrNull()?.let { turn.now - it.sentAt } ?: Millis(Long.MAX_VALUE)
-        if (age < turn.settings.changes.probePeriod) return
-        val connections = ConnectionPools.connections(turn, primary)
+    // A recent head position allows replicas to serve reads with bounded staleness, and shows that the primary answers.
+    private fun probe(reduction: Reduction, group: GroupView) {
+        val primary = PrimaryStatus.usablePrimary(reduction, group) ?: return
+        val age = group.heads.lastOrNull()?.let { reduction.now - it.sentAt } ?: Millis(Long.MAX_VALUE)
+        if (age < reduction.settings.changes.probePeriod) return
+        val connections = ConnectionPools.connections(reduction, primary)
         val probing = connections.any { connection -> connection.outstanding.any { it.purpose == Purpose.PROBE } }
         val idle = connections.find { it.idle }
         when {
             probing -> Unit
-            idle != null -> ConnectionCheckout.send(turn, idle, listOf(Purpose.PROBE to ServerStatement.Status))
-            connections.all { it.open } -> open(turn, primary)
+            idle != null -> ConnectionCheckout.send(reduction, idle, listOf(Purpose.PROBE to ServerStatement.Status))
+            connections.all { it.open } -> open(reduction, primary)
         }
     }
 
-    private fun open(turn: Reduction, primary: ServerName) {
-        turn.state.server(primary)?.let { ConnectionPools.open(turn, it) }
+    private fun open(reduction: Reduction, primary: ServerName) {
+        reduction.state.server(primary)?.let { ConnectionPools.open(reduction, it) }
     }
 }
 
-/** Orders the proxies, so that usually one of them acts for a group. */
+/** Ranks the proxies per group, so that usually only one of them acts for a group. */
 internal object ProxyRanking {
-    /** The number of proxies that come before this one for a group; null if this proxy is not registered. */
-    fun own(turn: Reduction, group: GroupName): Int? {
+    /** The number of proxies that rank before this one for [group]; null if this proxy is not registered. */
+    fun ownRank(reduction: Reduction, group: GroupName): Int? {
         val nodes =
-            turn.state.fleet
+            reduction.state.fleet
                 .members
                 .values
                 .map { it.identity.node }
                 .sortedBy { (it + group.value).hashCode() }
-        return nodes.indexOf(turn.state.self.identity.node).takeIf { it >= 0 }
+        return nodes.indexOf(reduction.state.self.identity.node).takeIf { it >= 0 }
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/GroupRecordAdoption.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/GroupRecordAdoption.kt
@@ -5,17 +5,17 @@
 import dev.hibiscusreach.sessions.model.GroupName
 import dev.hibiscusreach.sessions.state.GroupView
 
-/** Takes over the records of groups from the store and from peers. */
+/** Adopts group records that were read from the store or published by peers. */
 internal object GroupRecordAdoption {
-    /** Takes a record over if it is newer than the one in force. */
-    fun adopt(turn: Reduction, name: GroupName, record: FleetRecord.Group, revision: Long) {
-        val group = turn.group(name)
+    /** Adopts [record] if it has a higher epoch than the known one, or the same epoch and completes its change. */
+    fun adopt(reduction: Reduction, name: GroupName, record: FleetRecord.Group, revision: Long) {
+        val group = reduction.group(name)
         val known = group.record
         val newer =
             known == null || record.epoch > known.epoch ||
                 record.epoch == known.epoch && known.changedBy != null && record.changedBy == null
         if (!newer) return
-        turn.log(
+        reduction.log(
             "group record",
             "group" to name,
             "epoch" to record.epoch,
@@ -24,27 +24,31 @@
             "changedBy" to record.changedBy?.node,
             "revision" to revision,
         )
-        val taken = group.copy(record = record, revision = revision, adoptedAt = turn.now, suspicion = null)
-        // A successor had proved its log before it was promoted.
+        val current = group.copy(record = record, revision = revision, adoptedAt = reduction.now, suspicion = null)
+        // The new primary was checked before its promotion to hold all commits that departed replicas may have held.
         val replaced = known != null && known.term != record.term
-        val adopted = if (replaced) taken.copy(departed = emptyMap(), departedFloor = null) else taken
-        turn.put(adopted)
-        if (record.changedBy == null) inOffice(turn, adopted, record) else changing(turn, adopted, record)
+        val adopted = if (replaced) current.copy(departed = emptyMap(), departedFloor = null) else current
+        reduction.put(adopted)
+        if (record.changedBy == null) {
+            adoptStable(reduction, adopted, record)
+        } else {
+            adoptChanging(reduction, adopted, record)
+        }
     }
 
-    private fun inOffice(turn: Reduction, group: GroupView, record: FleetRecord.Group) {
+    private fun adoptStable(reduction: Reduction, group: GroupView, record: FleetRecord.Group) {
         val fence = group.fence?.takeIf { it.epoch > record.epoch }
-        turn.put(group.copy(fence = fence, change = null))
-        // Peers that wait for a confirmation of an older fence need none any more.
-        if (fence == null) PrimaryFencing.dropWaiting(turn, group)
-        turn.updateHealth(record.primary) { it.copy(notPrimaryAt = null) }
-        turn.count(SessionCounter.PRIMARY_CHANGES, "adopted")
-        StatementDispatch.serveWaiting(turn, group.name)
+        reduction.put(group.copy(fence = fence, change = null))
+        // Peers that wait for the confirmation of an older fence no longer need it.
+        if (fence == null) PrimaryFencing.dropWaiting(reduction, group)
+        reduction.updateHealth(record.primary) { it.copy(notPrimaryAt = null) }
+        reduction.count(SessionCounter.PRIMARY_CHANGES, "adopted")
+        StatementDispatch.serveWaiting(reduction, group.name)
     }
 
-    private fun changing(turn: Reduction, group: GroupView, record: FleetRecord.Group) {
-        val mine = record.changedBy == turn.state.self.identity
-        if (!mine) turn.put(group.copy(change = null))
-        PrimaryFencing.raise(turn, group.name, record.epoch, planned = false)
+    private fun adoptChanging(reduction: Reduction, group: GroupView, record: FleetRecord.Group) {
+        val ownChange = record.changedBy == reduction.state.self.identity
+        if (!ownChange) reduction.put(group.copy(change = null))
+        PrimaryFencing.raise(reduction, group.name, record.epoch, planned = false)
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/PeerMonitoring.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/PeerMonitoring.kt
@@ -8,48 +8,50 @@
 import dev.hibiscusreach.sessions.model.PeerRequest
 import dev.hibiscusreach.sessions.state.PeerView
 
-/** Knows the other proxies and pings them. */
+/** Pings the other proxies and records which of them answer. */
 internal object PeerMonitoring {
-    /** Pings the next peer, and those that missed a ping. */
-    fun review(turn: Reduction) {
-        val fleet = turn.state.fleet
-        val due = fleet.pingedAt?.let { turn.now - it >= turn.settings.leases.pingPeriod } ?: true
-        if (!due || !fleet.registered || turn.state.stoppingSince != null) return
-        val peers = peers(turn).sorted()
-        turn.state = turn.state.copy(fleet = fleet.copy(pingedAt = turn.now, nextPing = fleet.nextPing + 1))
-        peers.getOrNull(fleet.nextPing % maxOf(1, peers.size))?.let { ping(turn, it) }
-        // A peer that missed a ping is asked more often, so that its silence is confirmed or ends soon.
-        peers.filter { (fleet.peers[it]?.misses ?: 0) > 0 }.forEach { ping(turn, it) }
-        ProxyExpulsion.review(turn)
+    /** Pings the next peer in round-robin order and all peers that missed a ping, once per ping period. */
+    fun review(reduction: Reduction) {
+        val fleet = reduction.state.fleet
+        val due = fleet.pingedAt?.let { reduction.now - it >= reduction.settings.leases.pingPeriod } ?: true
+        if (!due || !fleet.registered || reduction.state.stoppingSince != null) return
+        val peers = peers(reduction).sorted()
+        reduction.state =
+            reduction.state.copy(fleet = fleet.copy(pingedAt = reduction.now, nextPing = fleet.nextPing + 1))
+        peers.getOrNull(fleet.nextPing % maxOf(1, peers.size))?.let { ping(reduction, it) }
+        // Peers that missed a ping are pinged in every period, so that a failure is confirmed or cleared quickly.
+        peers.filter { (fleet.peers[it]?.misses ?: 0) > 0 }.forEach { ping(reduction, it) }
+        ProxyExpulsion.review(reduction)
     }
 
-    /** Notes what a peer answered. */
-    fun answered(turn: Reduction, event: SessionEvent.PeerAnswered) {
-        val fleet = turn.state.fleet
-        val before = fleet.peers[event.peer] ?: PeerView(answeredAt = null)
-        val after =
+    /** Records the outcome of a ping. */
+    fun pingAnswered(reduction: Reduction, event: SessionEvent.PeerAnswered) {
+        val fleet = reduction.state.fleet
+        val previous = fleet.peers[event.peer] ?: PeerView(answeredAt = null)
+        val current =
             if (event.outcome is PeerOutcome.Answered) {
-                PeerView(answeredAt = turn.now)
+                PeerView(answeredAt = reduction.now)
             } else {
-                before.copy(misses = before.misses + 1, missingSince = before.missingSince ?: turn.now)
+                previous.copy(misses = previous.misses + 1, missingSince = previous.missingSince ?: reduction.now)
             }
-        turn.state = turn.state.copy(fleet = fleet.copy(peers = fleet.peers + (event.peer to after)))
+        reduction.state = reduction.state.copy(fleet = fleet.copy(peers = fleet.peers + (event.peer to current)))
     }
 
     /** The peer endpoints of all other proxies that are not expelled. */
-    fun peers(turn: Reduction): Set<Endpoint> =
-        turn.state.fleet
+    fun peers(reduction: Reduction): Set<Endpoint> =
+        reduction.state.fleet
             .members
             .values
-            .filter { it.identity.node != turn.state.self.identity.node }
+            .filter { it.identity.node != reduction.state.self.identity.node }
             .map { it.peerEndpoint }
             .toSet()
 
-    /** The time until the leases of all expelled proxies are over. */
-    fun expelledLeases(turn: Reduction): Millis {
-        val ends = turn.state.fleet.expelledSince.values.map { it + turn.settings.leases.duration }
-        return ends.maxOrNull()?.let { maxOf(Millis(0), it - turn.now) } ?: Millis(0)
+    /** The time until the leases of all expelled proxies have expired; zero if none is left. */
+    fun expulsionWait(reduction: Reduction): Millis {
+        val expiries = reduction.state.fleet.expelledSince.values.map { it + reduction.settings.leases.duration }
+        return expiries.maxOrNull()?.let { maxOf(Millis(0), it - reduction.now) } ?: Millis(0)
     }
 
-    private fun ping(turn: Reduction, peer: Endpoint) = turn.emit(SessionEffect.AskPeer(peer, PeerRequest.Ping))
+    private fun ping(reduction: Reduction, peer: Endpoint) =
+        reduction.emit(SessionEffect.AskPeer(peer, PeerRequest.Ping))
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ProxyExpulsion.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ProxyExpulsion.kt
@@ -5,62 +5,63 @@
 import dev.hibiscusreach.sessions.state.PeerView
 
 /**
- * Finds proxies that have gone silent and expels them, so that a later change of primary does not wait for their
- * leases. An expelled proxy cannot renew its lease; it registers again if it still runs.
+ * Expels proxies that do not answer pings, so that a later primary change does not wait for their leases. An expelled
+ * proxy cannot renew its lease; if it is still running, it registers again.
  */
 internal object ProxyExpulsion {
-    /** Expels proxies that have gone silent, and forgets expelled ones whose lease is over. */
-    fun review(turn: Reduction) {
-        expelSilent(turn)
-        forgetExpelled(turn)
+    /** Expels unresponsive proxies and deletes the records of expelled proxies whose leases have expired. */
+    fun review(reduction: Reduction) {
+        expelUnresponsive(reduction)
+        deleteExpired(reduction)
     }
 
-    /** Expels the proxies at [peers]. */
-    fun expel(turn: Reduction, peers: Set<Endpoint>) {
-        for ((key, proxy) in turn.state.fleet.members) {
-            val revision = turn.state.fleet.records[key]?.revision
+    /** Marks the records of the proxies at [peers] as expelled. */
+    fun expel(reduction: Reduction, peers: Set<Endpoint>) {
+        for ((key, proxy) in reduction.state.fleet.members) {
+            val revision = reduction.state.fleet.records[key]?.revision
             if (proxy.peerEndpoint in peers && revision != null) {
-                turn.log("proxy expelled", "node" to proxy.identity.node, "revision" to revision)
-                turn.emit(SessionEffect.WriteFleet(key, proxy.copy(expelled = true), revision))
+                reduction.log("proxy expelled", "node" to proxy.identity.node, "revision" to revision)
+                reduction.emit(SessionEffect.WriteFleet(key, proxy.copy(expelled = true), revision))
             }
         }
     }
 
-    // A proxy that hears from fewer than half of the others may be the one that is cut off.
-    private fun expelSilent(turn: Reduction) {
-        val fleet = turn.state.fleet
-        val others = fleet.members.filterValues { it.identity.node != turn.state.self.identity.node }
-        val heard = others.values.count { isHeard(fleet.peers[it.peerEndpoint]) }
-        val hearsMost = (heard + 1) * 2 > others.size + 1
-        if (fleet.storeLost || !PrimaryStatus.leaseHolds(turn)) return
+    // A proxy that cannot reach a majority of the proxies may itself be isolated, so it waits for a full lease duration
+    // before it expels others.
+    private fun expelUnresponsive(reduction: Reduction) {
+        val fleet = reduction.state.fleet
+        val others = fleet.members.filterValues { it.identity.node != reduction.state.self.identity.node }
+        val responsive = others.values.count { isResponsive(fleet.peers[it.peerEndpoint]) }
+        val reachesMajority = (responsive + 1) * 2 > others.size + 1
+        if (fleet.storeLost || !PrimaryStatus.leaseIsValid(reduction)) return
         others
             .values
             .map { it.peerEndpoint }
-            .filter { isSilent(turn, it, hearsMost) }
-            .let { expel(turn, it.toSet()) }
+            .filter { isUnresponsive(reduction, it, reachesMajority) }
+            .let { expel(reduction, it.toSet()) }
     }
 
-    private fun isHeard(view: PeerView?) = view?.answeredAt != null && view.misses == 0
+    private fun isResponsive(view: PeerView?) = view?.answeredAt != null && view.misses == 0
 
-    private fun isSilent(turn: Reduction, peer: Endpoint, hearsMost: Boolean): Boolean {
-        val view = turn.state.fleet.peers[peer]
+    private fun isUnresponsive(reduction: Reduction, peer: Endpoint, reachesMajority: Boolean): Boolean {
+        val view = reduction.state.fleet.peers[peer]
         val since = view?.missingSince ?: return false
-        val limits = turn.settings.leases
-        val expulsion = if (hearsMost) limits.expulsionTimeout else limits.duration
-        return view.misses >= limits.missedPings && turn.now - since >= expulsion
+        val limits = reduction.settings.leases
+        val timeout = if (reachesMajority) limits.expulsionTimeout else limits.duration
+        return view.misses >= limits.missedPings && reduction.now - since >= timeout
     }
 
-    private fun forgetExpelled(turn: Reduction) {
-        for ((key, since) in turn.state.fleet.expelledSince) {
-            val stored = turn.state.fleet.records[key] ?: continue
-            val over = turn.now - since > turn.settings.leases.duration
-            if (over && isFirst(turn)) turn.emit(SessionEffect.DeleteFleet(key, stored.revision))
+    private fun deleteExpired(reduction: Reduction) {
+        for ((key, since) in reduction.state.fleet.expelledSince) {
+            val stored = reduction.state.fleet.records[key] ?: continue
+            val expired = reduction.now - since > reduction.settings.leases.duration
+            if (expired && isFirstMember(reduction)) reduction.emit(SessionEffect.DeleteFleet(key, stored.revision))
         }
     }
 
-    private fun isFirst(turn: Reduction): Boolean =
-        turn.state.fleet
+    private fun isFirstMember(reduction: Reduction): Boolean =
+        reduction.state.fleet
             .members
             .values
-            .minOfOrNull { it.identity.node } == turn.state.self.identity.node
+            .minOfOrNull { it.identity.node } == reduction.state.self.identity.node
 }
