--- a/sessions/src/test/kotlin/dev/hibiscusreach/sessions/ProxyFixture.kt
+++ b/sessions/src/test/kotlin/dev/hibiscusreach/sessions/ProxyFixture.kt
@@ -35,7 +35,7 @@
 import dev.hibiscusreach.sessions.state.LocalProxy
 import dev.hibiscusreach.sessions.state.SessionProxyState
 
-/** One proxy's decisions in simulated time, with a group of one primary and two replicas. */
+/** Runs the session reducer of one proxy in simulated time, with a group of one primary and two replicas. */
 class ProxyFixture(
     proxies: Int = 3,
     private val connectionLimit: Int = 30,
@@ -56,17 +56,18 @@
 
     private val effects = mutableListOf<SessionEffect>()
 
-    /** All effects since the last call. */
-    fun take(): List<SessionEffect> = effects.toList().also { effects.clear() }
+    /** Returns and clears the effects since the last call. */
+    fun takeEffects(): List<SessionEffect> = effects.toList().also { effects.clear() }
 
+    /** Reduces [event] at the current simulated time and collects its effects. */
     fun feed(event: SessionEvent) {
         val transition = SessionReducer.reduce(state, TimedSessionEvent(MonotonicTime(now), event))
         state = transition.state
         effects += transition.effects
     }
 
-    /** Lets time pass in steps of the request timer, with the timers firing. */
-    fun pass(millis: Long, groups: Boolean = true) {
+    /** Advances the simulated time and fires the request timer, and the group timer if [groups] is set. */
+    fun advanceTime(millis: Long, groups: Boolean = true) {
         val end = now + millis
         while (now < end) {
             now += STEP_MILLIS
@@ -75,7 +76,7 @@
         }
     }
 
-    /** Brings the proxy into service: configuration, servers, its own record and the group's record. */
+    /** Makes the proxy ready: feeds the configuration, servers and fleet records, and opens the connections. */
     fun ready(): ProxyFixture {
         feed(SessionEvent.ConfigurationRead(configuration()))
         feed(SessionEvent.ServersRead(SERVERS.associateBy { it.name }))
@@ -94,7 +95,7 @@
         peers.associate { FleetKey.proxy(it.node) to FleetRecord.Proxy(it, endpoint(it.node)) } +
             (FleetKey.group(GROUP) to group)
 
-    /** Accepts every connection that is being opened. */
+    /** Completes the opening of all connections. */
     fun openAll() =
         state.connections.values
             .filter { !it.open }
@@ -108,8 +109,8 @@
     fun send(session: SessionNumber, statement: CallerStatement) =
         feed(SessionEvent.StatementArrived(session, "request-1", statement))
 
-    /** The connection to [server] that has statements without an answer. */
-    fun busyAt(server: ServerName): ConnectionNumber? =
+    /** The first connection to [server] with outstanding statements; null if there is none. */
+    fun busyConnection(server: ServerName): ConnectionNumber? =
         state.connections.values
             .find { it.server == server && it.outstanding.isNotEmpty() }
             ?.number
@@ -122,13 +123,13 @@
     fun fail(connection: ConnectionNumber?, failure: ServerFailure) =
         answer(connection, ServerAnswer.Result.Failed(failure, failure.name, ""), TransactionStatus.NONE, null)
 
-    /** Answers the statements of the proxy's own. */
+    /** Answers the statements that the proxy sent on connections that no session holds. */
     fun answerProbes() =
         state.connections.values
             .filter { it.heldBy == null && it.outstanding.isNotEmpty() }
             .forEach { complete(it.number) }
 
-    /** The latest answer to [session] since the last call of [take]. */
+    /** The latest reply to [session] since the last call of [takeEffects]. */
     fun reply(session: SessionNumber): SessionReply? =
         effects
             .filterIsInstance<SessionEffect.Reply>()
