--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/SessionReducer.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/SessionReducer.kt
@@ -35,13 +35,13 @@
         when (event) {
             SessionEvent.Started -> start(reduction)
             is SessionEvent.SessionRequested -> SessionLifecycle.open(reduction, event)
-            is SessionEvent.StatementArrived -> StatementArrivals.statement(reduction, event)
+            is SessionEvent.StatementArrived -> StatementArrivals.statementArrived(reduction, event)
             is SessionEvent.SessionEnded -> SessionLifecycle.end(reduction, event)
             is SessionEvent.ConnectionOpened -> ServerConnectionEvents.opened(reduction, event)
             is SessionEvent.ConnectionRefused -> ServerConnectionEvents.refused(reduction, event)
             is SessionEvent.ConnectionLost -> ServerConnectionEvents.lost(reduction, event)
             is SessionEvent.ServerAnswered -> ServerAnswers.handle(reduction, event)
-            is SessionEvent.ConfigurationRead -> ServerRegistry.configure(reduction, event.configuration)
+            is SessionEvent.ConfigurationRead -> ServerRegistry.applyConfiguration(reduction, event.configuration)
             is SessionEvent.ServersRead -> ServerRegistry.read(reduction, event)
             is SessionEvent.TimerFired -> fire(reduction, event.subject)
             SessionEvent.StopRequested -> SessionDraining.begin(reduction)
@@ -56,7 +56,7 @@
         when (subject) {
             TimerSubject.REQUESTS -> {
                 startTimer(reduction, subject, reduction.settings.statements.checkPeriod)
-                StatementDeadlines.review(reduction)
+                StatementDeadlines.enforce(reduction)
                 SessionDraining.review(reduction)
             }
             TimerSubject.GROUPS -> {
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/AdmissionControl.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/AdmissionControl.kt
@@ -15,9 +15,9 @@
         return when {
             pending.route.group !in reduction.state.configuration?.groups.orEmpty() ->
                 ErrorKind.NO_CONFIGURATION to "the group is not configured"
-            needsPrimary && !PrimaryStatus.leaseHolds(reduction) && reduction.state.fleet.storeLost ->
+            needsPrimary && !PrimaryStatus.leaseIsValid(reduction) && reduction.state.fleet.storeLost ->
                 ErrorKind.NO_PRIMARY to "the lease on the primary has expired and cannot be renewed"
-            needsPrimary && isDown(reduction, group.record?.primary) && !PrimaryStatus.changing(group) ->
+            needsPrimary && isDown(reduction, group.record?.primary) && !PrimaryStatus.isChanging(group) ->
                 ErrorKind.NO_PRIMARY to "the primary does not answer"
             expectedWait(reduction, pending) > maxWait(reduction, pending) ->
                 ErrorKind.OVERLOADED to "too many statements are queued for the group"
@@ -32,7 +32,7 @@
     // of the group.
     private fun expectedWait(reduction: Reduction, pending: PendingStatement): Millis {
         val servers = reduction.servers(pending.route.group)
-        val connections = servers.sumOf { ConnectionPools.limit(reduction, it) }
+        val connections = servers.sumOf { ConnectionPools.maxConnections(reduction, it) }
         val latencies = servers.mapNotNull { reduction.health(it.name).latency?.value }
         val latency = if (latencies.isEmpty()) reduction.settings.connections.expectedLatency.value else latencies.max()
         val queuedAhead = reduction.state.waiting[pending.route.group]?.size ?: 0
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ChangeFencing.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ChangeFencing.kt
@@ -28,7 +28,7 @@
         val settled = group.fence?.settled ?: true
         val recordedAt = change.recordedAt ?: reduction.now
         val confirmed =
-            change.membersRead && change.unfenced.isEmpty() && PeerMonitoring.expelledLeases(reduction).value == 0L
+            change.membersRead && change.unfenced.isEmpty() && PeerMonitoring.expulsionWait(reduction).value == 0L
         val leasesExpired = reduction.now > recordedAt + reduction.settings.leases.duration
         when {
             settled && confirmed -> SuccessorPromotion.inspectServers(reduction, group, change)
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ChangeTakeover.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ChangeTakeover.kt
@@ -17,7 +17,7 @@
     /** Pings the proxy that replaces the primary, and takes the change over after the timeout. */
     fun checkProgress(reduction: Reduction, group: GroupView) {
         val changes = reduction.settings.changes
-        val rank = ProxyRanking.own(reduction, group.name) ?: return
+        val rank = ProxyRanking.ownRank(reduction, group.name) ?: return
         val changer = changerEndpoint(reduction, group)
         val adoptedAt = group.adoptedAt ?: reduction.now
         val seenAt = group.changerSeenAt?.takeIf { changer != null && it > adoptedAt } ?: adoptedAt
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ConnectionCheckout.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ConnectionCheckout.kt
@@ -22,7 +22,7 @@
 
     /** Sends statements and records their purposes, so that each answer can be matched to its statement. */
     fun send(reduction: Reduction, connection: ServerConnection, statements: List<Pair<Purpose, ServerStatement>>) {
-        val toPrimary = PrimaryStatus.usable(reduction, reduction.group(connection.group)) == connection.server
+        val toPrimary = PrimaryStatus.usablePrimary(reduction, reduction.group(connection.group)) == connection.server
         val outstanding = statements.map { (purpose, _) -> OutstandingStatement(purpose, reduction.now, toPrimary) }
         val allOutstanding = connection.outstanding.addAll(outstanding)
         ConnectionPools.put(reduction, connection.copy(outstanding = allOutstanding, usedAt = reduction.now))
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/FleetEvents.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/FleetEvents.kt
@@ -21,7 +21,7 @@
             is SessionEvent.PeerAsked -> peerAsked(reduction, event.number, event.request)
             is SessionEvent.PeerAnswered -> peerAnswered(reduction, event)
             is SessionEvent.ControlAnswered -> controlAnswered(reduction, event)
-            is SessionEvent.PromotionAnswered -> PromoterLocking.answered(reduction, event)
+            is SessionEvent.PromotionAnswered -> PromoterLocking.handlePromotionOutcome(reduction, event)
             else -> Unit
         }
     }
@@ -29,15 +29,15 @@
     private fun recordWritten(reduction: Reduction, key: FleetKey, outcome: WriteOutcome) {
         val group = reduction.state.groups.keys.find { FleetKey.group(it) == key }
         when {
-            key == FleetKey.PROMOTER -> PromoterLocking.written(reduction, outcome)
-            group != null -> PrimaryChanges.written(reduction, group, outcome)
+            key == FleetKey.PROMOTER -> PromoterLocking.handleWriteOutcome(reduction, outcome)
+            group != null -> PrimaryChanges.handleWriteOutcome(reduction, group, outcome)
             else -> LeaseRenewal.written(reduction, key, outcome)
         }
     }
 
     private fun peerAsked(reduction: Reduction, number: PeerRequestNumber, request: PeerRequest) =
         when (request) {
-            is PeerRequest.Fence -> PrimaryFencing.asked(reduction, number, request)
+            is PeerRequest.Fence -> PrimaryFencing.handleFenceRequest(reduction, number, request)
             is PeerRequest.Sighting -> {
                 val age = reduction.health(request.server).answeredAt?.let { (reduction.now - it).value }
                 reduction.emit(SessionEffect.AnswerPeer(number, PeerAnswer.Seen(age)))
@@ -55,12 +55,12 @@
 
     private fun peerAnswered(reduction: Reduction, event: SessionEvent.PeerAnswered) {
         when (val request = event.request) {
-            is PeerRequest.Fence -> ChangeFencing.fenced(reduction, event, request)
+            is PeerRequest.Fence -> ChangeFencing.handleFenceAnswer(reduction, event, request)
             is PeerRequest.Sighting -> PrimaryFailureDetection.sightingAnswered(reduction, event, request)
             is PeerRequest.ReadFleet -> FleetReadRelay.readAnswered(reduction, event, request)
             PeerRequest.Ping -> {
                 PeerMonitoring.pingAnswered(reduction, event)
-                ChangeTakeover.changerAnswered(reduction, event)
+                ChangeTakeover.handleChangerAnswer(reduction, event)
             }
             is PeerRequest.Publish -> Unit
         }
@@ -69,7 +69,7 @@
     private fun controlAnswered(reduction: Reduction, event: SessionEvent.ControlAnswered) {
         val returnsStatus = event.command is ControlRequest.Status || event.command is ControlRequest.Pause
         if (returnsStatus && !GroupMonitoring.initialStatusAnswered(reduction, event)) {
-            SuccessorPromotion.reported(reduction, event)
+            SuccessorPromotion.handleStatus(reduction, event)
         }
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/GroupMonitoring.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/GroupMonitoring.kt
@@ -18,8 +18,8 @@
     /** Runs the checks of all groups that are configured or known. */
     fun review(reduction: Reduction) {
         val configured = reduction.state.configuration?.groups?.keys.orEmpty()
-        if (reduction.state.ready) ConnectionPools.warm(reduction)
-        ConnectionPools.trim(reduction)
+        if (reduction.state.ready) ConnectionPools.warmUp(reduction)
+        ConnectionPools.evictIdle(reduction)
         for (name in configured + reduction.state.groups.keys) {
             val group = reduction.group(name)
             if (group.record == null) discoverPrimary(reduction, group) else checkGroup(reduction, group)
@@ -73,7 +73,7 @@
         probe(reduction, group)
         PrimaryFencing.settle(reduction, group.name)
         PrimaryFailureDetection.review(reduction, group.name)
-        PrimaryChanges.review(reduction, group.name)
+        PrimaryChanges.advance(reduction, group.name)
     }
 
     // A recent head position allows replicas to serve reads with bounded staleness, and shows that the primary answers.
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/GroupRecordAdoption.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/GroupRecordAdoption.kt
@@ -40,7 +40,7 @@
         val fence = group.fence?.takeIf { it.epoch > record.epoch }
         reduction.put(group.copy(fence = fence, change = null))
         // Peers that wait for the confirmation of an older fence no longer need it.
-        if (fence == null) PrimaryFencing.dropWaiting(reduction, group)
+        if (fence == null) PrimaryFencing.answerWaiters(reduction, group)
         reduction.updateHealth(record.primary) { it.copy(notPrimaryAt = null) }
         reduction.count(SessionCounter.PRIMARY_CHANGES, "adopted")
         StatementDispatch.serveWaiting(reduction, group.name)
@@ -49,6 +49,6 @@
     private fun adoptChanging(reduction: Reduction, group: GroupView, record: FleetRecord.Group) {
         val ownChange = record.changedBy == reduction.state.self.identity
         if (!ownChange) reduction.put(group.copy(change = null))
-        PrimaryFencing.raise(reduction, group.name, record.epoch, planned = false)
+        PrimaryFencing.fencePrimary(reduction, group.name, record.epoch, planned = false)
     }
 }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/LeaseRenewal.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/LeaseRenewal.kt
@@ -73,7 +73,7 @@
             )
         if (!registered && reduction.state.stoppingSince == null) register(reduction, own)
         adopt(reduction, event.records)
-        ChangeFencing.membersRead(reduction, event.sentAt)
+        ChangeFencing.handleMembersRead(reduction, event.sentAt)
         FleetReadRelay.answerWaiting(reduction, event.sentAt)
         if (fleet.readAgain) read(reduction)
     }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/PrimaryStatus.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/PrimaryStatus.kt
@@ -45,7 +45,7 @@
         if (latest != null && latest.sentAt >= sentAt) return
         val head = HeadSample(sentAt, position)
         val heads = group.heads.add(head)
-        val updated = DepartedReplicas.sampled(group, head)
+        val updated = DepartedReplicas.applyHeadSample(group, head)
         reduction.put(updated.copy(heads = if (heads.size > MAX_HEAD_SAMPLES) heads.removeAt(0) else heads))
     }
 
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerAnswers.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerAnswers.kt
@@ -21,7 +21,7 @@
         } else {
             val connection = before.copy(outstanding = before.outstanding.removeAt(0))
             ConnectionPools.put(reduction, connection)
-            ServerHealthTracking.answered(reduction, connection.server)
+            ServerHealthTracking.recordAnswer(reduction, connection.server)
             recordServerState(reduction, connection, first, event.answer)
             handle(reduction, connection, first, event.answer)
             StatementDispatch.serveWaiting(reduction, connection.group)
@@ -65,7 +65,7 @@
     ) {
         val position = answer.position
         if (sent.toPrimary && position != null) {
-            PrimaryStatus.sampled(reduction, connection.group, sent.sentAt, position)
+            PrimaryStatus.recordHead(reduction, connection.group, sent.sentAt, position)
         }
         val failure = (answer.result as? ServerAnswer.Result.Failed)?.failure
         if (failure == ServerFailure.NOT_PRIMARY) {
@@ -107,7 +107,7 @@
         val statement = AnsweredStatement(connection, session, pending, answer)
         when (val result = answer.result) {
             is ServerAnswer.Result.Completed -> {
-                ServerHealthTracking.latency(reduction, connection.server, reduction.now - sent.sentAt)
+                ServerHealthTracking.recordLatency(reduction, connection.server, reduction.now - sent.sentAt)
                 StatementCompletion.complete(reduction, statement, result)
             }
             is ServerAnswer.Result.Failed ->
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerConnectionEvents.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerConnectionEvents.kt
@@ -97,7 +97,12 @@
         val kind = if (mayHaveCommitted) ErrorKind.OUTCOME_UNKNOWN else ErrorKind.TRANSACTION_ENDED
         val updated = session.copy(transaction = pending.transactionAfterFailure)
         val message = "the transaction's server connection was lost"
-        SessionReplies.pending(reduction, updated, pending, SessionReplies.refusal(reduction, updated, kind, message))
+        SessionReplies.answerPending(
+            reduction,
+            updated,
+            pending,
+            SessionReplies.refusal(reduction, updated, kind, message),
+        )
     }
 
     private fun failOrRetryStatement(
@@ -106,14 +111,14 @@
         pending: PendingStatement,
         connection: ServerConnection,
     ) {
-        val safeToRetry = pending.phase is Phase.Beginning || StatementFailures.isRead(session, pending)
+        val safeToRetry = pending.phase is Phase.Beginning || StatementFailures.isIdempotent(session, pending)
         when {
             !safeToRetry -> {
                 val message = "the server connection was lost before the write was answered"
                 val reply = SessionReplies.refusal(reduction, session, ErrorKind.OUTCOME_UNKNOWN, message)
-                SessionReplies.pending(reduction, session, pending, reply)
+                SessionReplies.answerPending(reduction, session, pending, reply)
             }
-            StatementFailures.hasTime(reduction, pending) -> {
+            StatementFailures.mayRetry(reduction, pending) -> {
                 reduction.count(SessionCounter.RETRIES, "connection-lost")
                 val retried = pending.copy(excluded = pending.excluded + connection.server)
                 StatementDispatch.requeue(reduction, session, retried)
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerRegistry.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerRegistry.kt
@@ -38,7 +38,7 @@
         reduction.state = reduction.state.copy(servers = (missing + present).toPersistentMap(), serversKnown = true)
         event.servers.values.forEach {
             handleEntry(reduction, before[it.name]?.server, it)
-            DepartedReplicas.present(reduction, it)
+            DepartedReplicas.markPresent(reduction, it)
         }
         missing.values
             .filter { it.missingSince == reduction.now }
@@ -63,7 +63,7 @@
 
     private fun handleMissingEntry(reduction: Reduction, server: RegisteredServer) {
         reduction.log("server entry missing", "server" to server.name, "group" to server.group)
-        DepartedReplicas.missing(reduction, server)
+        DepartedReplicas.markMissing(reduction, server)
     }
 
     private fun handleEntry(reduction: Reduction, before: RegisteredServer?, after: RegisteredServer) {
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerSelection.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/ServerSelection.kt
@@ -61,7 +61,7 @@
         pending: PendingStatement,
     ): ServerCandidate? {
         val margin = if (pending.access == Access.WRITE) reduction.settings.leases.writeMargin else Millis(0)
-        val name = PrimaryStatus.usable(reduction, group, margin) ?: return null
+        val name = PrimaryStatus.usablePrimary(reduction, group, margin) ?: return null
         val primaryOnly = needsPrimary(session, pending)
         return reduction.state
             .server(name)
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/SessionReplies.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/SessionReplies.kt
@@ -49,7 +49,7 @@
 
     private fun logPending(reduction: Reduction, session: Session, pending: PendingStatement, reply: SessionReply) {
         val group = reduction.group(pending.route.group)
-        val connection = ConnectionCheckout.heldBy(pending)?.let { reduction.state.connections[it] }
+        val connection = ConnectionCheckout.connectionOf(pending)?.let { reduction.state.connections[it] }
         reduction.log(
             if (reply is SessionReply.Completed) "statement served" else "statement not served",
             "request" to pending.identifier,
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementCompletion.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementCompletion.kt
@@ -59,7 +59,7 @@
         val epoch = (pending.phase as? Phase.Sent)?.epoch ?: 0
         val fence = reduction.group(pending.route.group).fence
         val fenced = fence != null && fence.settled && fence.epoch > epoch
-        return fenced || !PrimaryStatus.leaseHolds(reduction)
+        return fenced || !PrimaryStatus.leaseIsValid(reduction)
     }
 
     private fun withLastCommit(statement: AnsweredStatement, wrote: Boolean): Session {
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementDeadlines.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementDeadlines.kt
@@ -54,11 +54,11 @@
 
     private fun checkWaiting(reduction: Reduction, session: Session, pending: PendingStatement) {
         val group = reduction.group(pending.route.group)
-        if (reduction.now < pending.waitDeadline(reduction, PrimaryStatus.changing(group))) return
+        if (reduction.now < pending.waitDeadline(reduction, PrimaryStatus.isChanging(group))) return
         val needsPrimary = ServerSelection.needsPrimary(session, pending)
         val (kind, message) =
             when {
-                needsPrimary && PrimaryStatus.usable(reduction, group) == null ->
+                needsPrimary && PrimaryStatus.usablePrimary(reduction, group) == null ->
                     ErrorKind.NO_PRIMARY to "no primary became available in time"
                 !needsPrimary && PrimaryStatus.minimumPosition(reduction, session, pending) == null ->
                     ErrorKind.READ_TOO_OLD to "no server is known to be fresh enough"
@@ -68,7 +68,7 @@
     }
 
     private fun checkSent(reduction: Reduction, session: Session, pending: PendingStatement) {
-        val connection = ConnectionCheckout.heldBy(pending)?.let { reduction.state.connections[it] } ?: return
+        val connection = ConnectionCheckout.connectionOf(pending)?.let { reduction.state.connections[it] } ?: return
         val expired = reduction.now - pending.arrivedAt > pending.route.statementTimeout
         when {
             expired -> expire(reduction, session, pending, connection.server)
@@ -107,7 +107,7 @@
 internal fun Reduction.sessionsAt(group: GroupName, server: ServerName): List<Session> =
     state.active.mapNotNull { session(it) }.filter { session ->
         val running = session.running?.connection
-        val held = running ?: ConnectionCheckout.heldBy(session.pending)
+        val held = running ?: ConnectionCheckout.connectionOf(session.pending)
         val connection = held?.let { state.connections[it] }
         connection?.server == server && connection.group == group
     }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementDispatch.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementDispatch.kt
@@ -37,9 +37,9 @@
             val session = reduction.session(number)
             val pending = session?.pending
             if (pending == null || pending.phase !is Phase.Waiting) {
-                reduction.stopWaiting(group, number)
+                reduction.dequeue(group, number)
             } else if (assign(reduction, session, pending)) {
-                reduction.stopWaiting(group, number)
+                reduction.dequeue(group, number)
             }
         }
     }
@@ -62,7 +62,7 @@
             reduction,
             session,
             pending,
-            ConnectionCheckout.hold(reduction, chosen.first, session.number),
+            ConnectionCheckout.checkOut(reduction, chosen.first, session.number),
             chosen.second,
         )
         return true
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementFailures.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementFailures.kt
@@ -17,7 +17,7 @@
 internal object StatementFailures {
     /** Refuses a pending statement that has not run. */
     fun refuse(reduction: Reduction, session: Session, pending: PendingStatement, kind: ErrorKind, message: String) {
-        reduction.stopWaiting(pending.route.group, session.number)
+        reduction.dequeue(pending.route.group, session.number)
         val next = afterRefusal(session, pending)
         SessionReplies.answerPending(reduction, next, pending, SessionReplies.refusal(reduction, next, kind, message))
     }
@@ -30,7 +30,7 @@
         server: ServerName,
         failed: ServerAnswer.Result.Failed,
     ) {
-        if (failed.failure == ServerFailure.BEHIND) ServerHealthTracking.behind(reduction, server)
+        if (failed.failure == ServerFailure.BEHIND) ServerHealthTracking.recordLag(reduction, server)
         val safeToRetry = failed.failure.notRun || isIdempotent(session, pending)
         if (safeToRetry && mayRetry(reduction, pending)) {
             reduction.count(SessionCounter.RETRIES, failed.failure.name.lowercase())
@@ -77,7 +77,7 @@
 
     /** Whether another attempt may start: attempts are left, and the statement may still wait for a connection. */
     fun mayRetry(reduction: Reduction, pending: PendingStatement): Boolean {
-        val changing = PrimaryStatus.changing(reduction.group(pending.route.group))
+        val changing = PrimaryStatus.isChanging(reduction.group(pending.route.group))
         return pending.attempts < reduction.settings.statements.maxAttempts &&
             reduction.now < pending.waitDeadline(reduction, changing)
     }
--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementSending.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementSending.kt
@@ -74,8 +74,11 @@
         }
 
     private fun mayCommit(reduction: Reduction, connection: ServerConnection): Boolean =
-        PrimaryStatus.usable(reduction, reduction.group(connection.group), reduction.settings.leases.writeMargin) ==
-            connection.server
+        PrimaryStatus.usablePrimary(
+            reduction,
+            reduction.group(connection.group),
+            reduction.settings.leases.writeMargin,
+        ) == connection.server
 
     private fun abort(reduction: Reduction, session: Session, pending: PendingStatement, message: String) {
         val next = session.copy(transaction = pending.transactionAfterFailure)
--- a/sessions/src/test/kotlin/dev/hibiscusreach/sessions/GracefulStopTest.kt
+++ b/sessions/src/test/kotlin/dev/hibiscusreach/sessions/GracefulStopTest.kt
@@ -25,15 +25,15 @@
     @Test
     fun `a session that arrives after the last one has ended is served - guards against a request cut by the exit`() {
         proxy.feed(SessionEvent.StopRequested)
-        proxy.pass(2_300, groups = false)
-        expectThat(proxy.take()).contains(SessionEffect.StopListening).doesNotContain(SessionEffect.Exit)
+        proxy.advanceTime(2_300, groups = false)
+        expectThat(proxy.takeEffects()).contains(SessionEffect.StopListening).doesNotContain(SessionEffect.Exit)
         val late = proxy.session(9)
         proxy.send(late, WRITE)
-        proxy.pass(300, groups = false)
-        expectThat(proxy.take()).doesNotContain(SessionEffect.Exit)
-        proxy.complete(proxy.busyAt(PRIMARY))
+        proxy.advanceTime(300, groups = false)
+        expectThat(proxy.takeEffects()).doesNotContain(SessionEffect.Exit)
+        proxy.complete(proxy.busyConnection(PRIMARY))
         expectThat(proxy.reply(late)).isA<SessionReply.Completed>()
-        proxy.pass(50, groups = false)
-        expectThat(proxy.take()).contains(SessionEffect.Exit)
+        proxy.advanceTime(50, groups = false)
+        expectThat(proxy.takeEffects()).contains(SessionEffect.Exit)
     }
 }
--- a/sessions/src/test/kotlin/dev/hibiscusreach/sessions/PrimaryChangeTest.kt
+++ b/sessions/src/test/kotlin/dev/hibiscusreach/sessions/PrimaryChangeTest.kt
@@ -44,7 +44,7 @@
     private val intent = GROUP_RECORD.copy(epoch = 2, changedBy = proxy.peers.first())
     private val confirmed = PeerOutcome.Answered(PeerAnswer.Done)
 
-    private inline fun <reified T : SessionEffect> effects(): List<T> = proxy.take().filterIsInstance<T>()
+    private inline fun <reified T : SessionEffect> effects(): List<T> = proxy.takeEffects().filterIsInstance<T>()
 
     private fun writtenKeys() = effects<SessionEffect.WriteFleet>().map { it.key }
 
@@ -52,7 +52,7 @@
     private fun beginPlannedChange() {
         val leaving = SERVERS.map { if (it.name == PRIMARY) server(PRIMARY, EAST, ServerRole.PRIMARY, true) else it }
         proxy.feed(SessionEvent.ServersRead(leaving.associateBy { it.name }))
-        proxy.pass(1_000)
+        proxy.advanceTime(1_000)
         proxy.feed(SessionEvent.FleetWritten(FleetKey.group(GROUP), WriteOutcome.Written(20)))
     }
 
@@ -66,14 +66,14 @@
             val status = ServerStatus(server.role, Term(1), Position(Term(1), 10))
             proxy.feed(SessionEvent.ControlAnswered(server.name, ControlRequest.Status, status))
         }
-        proxy.pass(100)
+        proxy.advanceTime(100)
     }
 
     private fun requestPromotion() {
         beginPlannedChange()
         proxy.readFleet(proxy.records(intent))
         listOf("node-2", "node-3").forEach { confirmFence(it) }
-        proxy.pass(100)
+        proxy.advanceTime(100)
         reportStatuses()
         proxy.feed(SessionEvent.FleetWritten(FleetKey.PROMOTER, WriteOutcome.Written(31)))
     }
@@ -83,11 +83,11 @@
         beginPlannedChange()
         proxy.readFleet(proxy.records(intent))
         confirmFence("node-2")
-        proxy.take()
-        proxy.pass(5_000)
+        proxy.takeEffects()
+        proxy.advanceTime(5_000)
         expectThat(effects<SessionEffect.SendControl>()).isEmpty()
         confirmFence("node-3")
-        proxy.pass(100)
+        proxy.advanceTime(100)
         expectThat(effects<SessionEffect.SendControl>()).isNotEmpty()
     }
 
@@ -95,12 +95,12 @@
     fun `a proxy that registers during a change is fenced as well - guards against a lease that no proxy waits for`() {
         beginPlannedChange()
         listOf("node-2", "node-3").forEach { confirmFence(it) }
-        proxy.take()
-        proxy.pass(100)
+        proxy.takeEffects()
+        proxy.advanceTime(100)
         expectThat(effects<SessionEffect.SendControl>()).isEmpty()
         val joined = FleetRecord.Proxy(ProxyFixture.identity("node-4"), endpoint("node-4"))
         proxy.readFleet(proxy.records(intent) + (FleetKey.proxy("node-4") to joined))
-        proxy.pass(100)
+        proxy.advanceTime(100)
         val fenced = effects<SessionEffect.AskPeer>().filter { it.request is PeerRequest.Fence }.map { it.peer }
         expectThat(fenced).contains(endpoint("node-4"))
     }
@@ -110,7 +110,7 @@
         beginPlannedChange()
         proxy.readFleet(proxy.records(intent))
         confirmFence("node-2")
-        proxy.pass(10_200)
+        proxy.advanceTime(10_200)
         expectThat(writtenKeys()).contains(FleetKey.proxy("node-3"))
     }
 
@@ -124,10 +124,10 @@
     fun `the successor is published once it leads and the old primary steps down`() {
         requestPromotion()
         proxy.feed(SessionEvent.PromotionAnswered(GROUP, NEAR_REPLICA, PromotionOutcome.ACCEPTED))
-        proxy.take()
+        proxy.takeEffects()
         val leading = ServerStatus(ServerRole.PRIMARY, Term(2), Position(Term(2), 11))
         proxy.feed(SessionEvent.ControlAnswered(NEAR_REPLICA, ControlRequest.Status, leading))
-        val effects = proxy.take()
+        val effects = proxy.takeEffects()
         val published = GROUP_RECORD.copy(epoch = 2, term = Term(2), primary = NEAR_REPLICA)
         expectThat(effects.filterIsInstance<SessionEffect.SendControl>().map { it.command })
             .contains(ControlRequest.StepDown(2))
@@ -139,7 +139,7 @@
         val request = PeerRequest.Fence(GROUP.value, epoch = 2, planned = false)
         proxy.feed(SessionEvent.PeerAsked(PeerRequestNumber(1), request))
         val session = proxy.session(1, SIGN_OFFS)
-        proxy.take()
+        proxy.takeEffects()
         proxy.send(session, WRITE)
         expectThat(effects<SessionEffect.SendStatements>()).isEmpty()
     }
@@ -148,14 +148,14 @@
     fun `a fence is confirmed after the write in flight is answered - guards against a lost acknowledgement`() {
         val session = proxy.session(1, SIGN_OFFS)
         proxy.send(session, WRITE)
-        val connection = proxy.busyAt(PRIMARY)
-        proxy.take()
+        val connection = proxy.busyConnection(PRIMARY)
+        proxy.takeEffects()
         val request = PeerRequest.Fence(GROUP.value, epoch = 2, planned = true)
         proxy.feed(SessionEvent.PeerAsked(PeerRequestNumber(1), request))
         expectThat(effects<SessionEffect.AnswerPeer>()).isEmpty()
         proxy.complete(connection)
         expectThat(proxy.reply(session)).isA<SessionReply.Completed>()
-        proxy.pass(100)
+        proxy.advanceTime(100)
         expectThat(effects<SessionEffect.AnswerPeer>()).isNotEmpty()
     }
 
@@ -164,7 +164,7 @@
         val other = intent.copy(changedBy = proxy.peers[1])
         repeat(10) {
             proxy.readFleet(proxy.records(other))
-            proxy.pass(1_000)
+            proxy.advanceTime(1_000)
             proxy.feed(SessionEvent.PeerAnswered(endpoint("node-2"), PeerRequest.Ping, confirmed))
         }
         expectThat(writtenKeys()).doesNotContain(FleetKey.group(GROUP))
@@ -174,7 +174,7 @@
     fun `the change of a proxy that no longer runs is taken over`() {
         val other = intent.copy(changedBy = proxy.peers[1])
         proxy.readFleet(proxy.records(other))
-        proxy.take()
+        proxy.takeEffects()
         proxy.feed(SessionEvent.PeerAnswered(endpoint("node-2"), PeerRequest.Ping, PeerOutcome.NotRunning))
         val taken = effects<SessionEffect.WriteFleet>().map { it.record }
         expectThat(taken).contains(intent.copy(epoch = 3))
@@ -185,7 +185,7 @@
         val earlier = proxy.peers[1].copy(incarnation = 0)
         proxy.readFleet(proxy.records(intent.copy(changedBy = earlier)))
         repeat(2) {
-            proxy.pass(500)
+            proxy.advanceTime(500)
             proxy.feed(SessionEvent.PeerAnswered(endpoint("node-2"), PeerRequest.Ping, confirmed))
         }
         val taken = effects<SessionEffect.WriteFleet>().map { it.record }
@@ -195,7 +195,7 @@
     @Test
     fun `an unresponsive proxy is expelled - guards against a change of primary that waits for a lost host`() {
         repeat(8) {
-            proxy.pass(1_000)
+            proxy.advanceTime(1_000)
             proxy.readFleet()
             proxy.feed(SessionEvent.PeerAnswered(endpoint("node-2"), PeerRequest.Ping, confirmed))
             proxy.feed(SessionEvent.PeerAnswered(endpoint("node-3"), PeerRequest.Ping, PeerOutcome.Silent))
@@ -209,13 +209,13 @@
         val intent = GROUP_RECORD.copy(epoch = 2, changedBy = proxy.peers.first())
         repeat(2) {
             proxy.readFleet(proxy.records(intent))
-            proxy.pass(200)
+            proxy.advanceTime(200)
         }
-        val paused = proxy.take().filterIsInstance<SessionEffect.SendControl>()
+        val paused = proxy.takeEffects().filterIsInstance<SessionEffect.SendControl>()
         expectThat(paused.map { it.command }).contains(ControlRequest.Pause(2))
         val leading = ServerStatus(ServerRole.PRIMARY, Term(1), Position(Term(1), 10))
         proxy.feed(SessionEvent.ControlAnswered(PRIMARY, ControlRequest.Status, leading))
-        val resumed = proxy.take().filterIsInstance<SessionEffect.SendControl>()
+        val resumed = proxy.takeEffects().filterIsInstance<SessionEffect.SendControl>()
         expectThat(resumed.filter { it.command == ControlRequest.Resume }.map { it.server.name })
             .isEqualTo(listOf(NEAR_REPLICA, FAR_REPLICA))
     }
@@ -225,17 +225,18 @@
         val proxy = ProxyFixture(proxies = 1, synchronousReplicas = 1).ready()
         val leaving = SERVERS.map { if (it.name == PRIMARY) server(PRIMARY, EAST, ServerRole.PRIMARY, true) else it }
         proxy.feed(SessionEvent.ServersRead(leaving.associateBy { it.name }))
-        proxy.pass(300)
+        proxy.advanceTime(300)
         proxy.feed(SessionEvent.FleetWritten(FleetKey.group(GROUP), WriteOutcome.Written(20)))
         proxy.readFleet(proxy.records(GROUP_RECORD.copy(epoch = 2, changedBy = proxy.peers.first())))
-        proxy.pass(700)
-        proxy.take()
+        proxy.advanceTime(700)
+        proxy.takeEffects()
         for ((name, role) in listOf(PRIMARY to ServerRole.PRIMARY, NEAR_REPLICA to ServerRole.REPLICA)) {
             val status = ServerStatus(role, Term(1), Position(Term(1), 10))
             proxy.feed(SessionEvent.ControlAnswered(name, ControlRequest.Status, status))
         }
-        proxy.pass(700)
-        expectThat(proxy.take().filterIsInstance<SessionEffect.WriteFleet>().map { it.key }).contains(FleetKey.PROMOTER)
+        proxy.advanceTime(700)
+        val written = proxy.takeEffects().filterIsInstance<SessionEffect.WriteFleet>().map { it.key }
+        expectThat(written).contains(FleetKey.PROMOTER)
     }
 
     private val syncProxy = ProxyFixture(proxies = 1, synchronousReplicas = 1).ready()
@@ -246,16 +247,16 @@
         val own = intent.copy(changedBy = syncProxy.peers.first())
         repeat(2) {
             syncProxy.readFleet(syncProxy.records(own))
-            syncProxy.pass(200)
+            syncProxy.advanceTime(200)
         }
         val status = ServerStatus(ServerRole.REPLICA, Term(1), Position(Term(1), 10))
         reporting.forEach { syncProxy.feed(SessionEvent.ControlAnswered(it, ControlRequest.Pause(2), status)) }
-        syncProxy.take()
-        syncProxy.pass(1_400)
+        syncProxy.takeEffects()
+        syncProxy.advanceTime(1_400)
     }
 
     private fun requestsPromoterLock() =
-        syncProxy.take().filterIsInstance<SessionEffect.WriteFleet>().any { it.key == FleetKey.PROMOTER }
+        syncProxy.takeEffects().filterIsInstance<SessionEffect.WriteFleet>().any { it.key == FleetKey.PROMOTER }
 
     private fun removeFarReplica() =
         syncProxy.feed(SessionEvent.ServersRead(SERVERS.filter { it.name != FAR_REPLICA }.associateBy { it.name }))
@@ -276,7 +277,7 @@
     @Test
     fun `a replica removed during the change must still report - guards against a lost acknowledged commit`() {
         removeFarReplica()
-        syncProxy.pass(4_000)
+        syncProxy.advanceTime(4_000)
         reportDuringChange(GROUP_RECORD.copy(epoch = 2, replicas = replicas), listOf(NEAR_REPLICA))
         expectThat(requestsPromoterLock()).isFalse()
     }
@@ -284,7 +285,7 @@
     @Test
     fun `a successor must reach the floor of removed replicas - guards against a lost acknowledged commit`() {
         removeFarReplica()
-        syncProxy.pass(4_000)
+        syncProxy.advanceTime(4_000)
         reportDuringChange(GROUP_RECORD.copy(epoch = 2, floor = Position(Term(1), 11)), listOf(NEAR_REPLICA))
         expectThat(requestsPromoterLock()).isFalse()
     }
@@ -294,9 +295,9 @@
         removeFarReplica()
         val leaving = SERVERS.map { if (it.name == PRIMARY) server(PRIMARY, EAST, ServerRole.PRIMARY, true) else it }
         syncProxy.feed(SessionEvent.ServersRead(leaving.filter { it.name != FAR_REPLICA }.associateBy { it.name }))
-        syncProxy.take()
-        syncProxy.pass(200)
-        val intents = syncProxy.take().filterIsInstance<SessionEffect.WriteFleet>().map { it.record }
+        syncProxy.takeEffects()
+        syncProxy.advanceTime(200)
+        val intents = syncProxy.takeEffects().filterIsInstance<SessionEffect.WriteFleet>().map { it.record }
         expectThat(intents).contains(
             GROUP_RECORD.copy(epoch = 2, changedBy = syncProxy.peers.first(), replicas = replicas),
         )
@@ -309,7 +310,7 @@
         reportDuringChange(GROUP_RECORD.copy(epoch = 2, replicas = replicas), listOf(NEAR_REPLICA))
         val leading = ServerStatus(ServerRole.PRIMARY, Term(1), Position(Term(1), 12))
         syncProxy.feed(SessionEvent.ControlAnswered(returned.name, ControlRequest.Pause(2), leading))
-        val published = syncProxy.take().filterIsInstance<SessionEffect.WriteFleet>().map { it.record }
+        val published = syncProxy.takeEffects().filterIsInstance<SessionEffect.WriteFleet>().map { it.record }
         expectThat(published).contains(GROUP_RECORD.copy(epoch = 2, primary = returned.name))
     }
 
@@ -319,7 +320,7 @@
         reportDuringChange(intent, listOf(NEAR_REPLICA))
         repeat(20) {
             syncProxy.readFleet(syncProxy.records(intent))
-            syncProxy.pass(1_000)
+            syncProxy.advanceTime(1_000)
         }
         expectThat(requestsPromoterLock()).isTrue()
     }
@@ -329,7 +330,7 @@
         val proxy = ProxyFixture(proxies = 4).ready()
         proxy.send(proxy.session(1, SIGN_OFFS), WRITE)
         repeat(4) {
-            proxy.pass(1_000)
+            proxy.advanceTime(1_000)
             val unseen = PeerOutcome.Answered(PeerAnswer.Seen(ageMillis = 5_000))
             proxy.feed(SessionEvent.PeerAnswered(endpoint("node-2"), PeerRequest.Sighting(PRIMARY), unseen))
             listOf("node-3", "node-4").forEach {
@@ -337,7 +338,7 @@
             }
             proxy.readFleet()
         }
-        val effects = proxy.take()
+        val effects = proxy.takeEffects()
         expectThat(effects.filterIsInstance<SessionEffect.AskPeer>().map { it.request })
             .contains(PeerRequest.Sighting(PRIMARY))
         expectThat(effects.filterIsInstance<SessionEffect.WriteFleet>().map { it.key })
@@ -348,7 +349,7 @@
     fun `a primary that most proxies cannot reach is replaced`() {
         proxy.send(proxy.session(1, SIGN_OFFS), WRITE)
         repeat(3) {
-            proxy.pass(1_000)
+            proxy.advanceTime(1_000)
             val unseen = PeerOutcome.Answered(PeerAnswer.Seen(ageMillis = 5_000))
             listOf("node-2", "node-3").forEach {
                 proxy.feed(SessionEvent.PeerAnswered(endpoint(it), PeerRequest.Sighting(PRIMARY), unseen))
--- a/sessions/src/test/kotlin/dev/hibiscusreach/sessions/RestartLoadTest.kt
+++ b/sessions/src/test/kotlin/dev/hibiscusreach/sessions/RestartLoadTest.kt
@@ -29,7 +29,7 @@
     }
 
     private inline fun <reified T : SessionEffect> effects(proxy: ProxyFixture): List<T> =
-        proxy.take().filterIsInstance<T>()
+        proxy.takeEffects().filterIsInstance<T>()
 
     @Test
     fun `sessions that arrive before the configuration wait for it - guards against retries after a restart`() {
@@ -37,10 +37,10 @@
         (1L..3L).forEach { started.session(it, SIGN_OFFS) }
         started.session(4, DatabaseName("unknown"))
         started.feed(SessionEvent.SessionEnded(SessionNumber(2)))
-        started.pass(500)
+        started.advanceTime(500)
         expectThat(effects<SessionEffect.RefuseSession>(started)).isEmpty()
         started.ready()
-        val effects = started.take()
+        val effects = started.takeEffects()
         expectThat(effects.filterIsInstance<SessionEffect.AcceptSession>().map { it.session.value })
             .isEqualTo(listOf(1L, 3L))
         expectThat(effects.filterIsInstance<SessionEffect.RefuseSession>().map { it.kind })
@@ -52,7 +52,7 @@
         val started = ProxyFixture()
         started.session(1, SIGN_OFFS)
         started.feed(SessionEvent.FleetReadFailed("no answer"))
-        started.pass(100)
+        started.advanceTime(100)
         started.session(2, SIGN_OFFS)
         expectThat(effects<SessionEffect.RefuseSession>(started).map { it.session.value }).isEqualTo(listOf(1L, 2L))
     }
@@ -61,7 +61,7 @@
     fun `a session waits for the configuration for a limited time`() {
         val started = ProxyFixture()
         started.session(1, SIGN_OFFS)
-        started.pass(1_100)
+        started.advanceTime(1_100)
         expectThat(effects<SessionEffect.RefuseSession>(started).map { it.kind })
             .isEqualTo(listOf(ErrorKind.NO_CONFIGURATION))
     }
@@ -75,7 +75,7 @@
             .forEach { proxy.complete(it.number) }
         expectThat(connectionsToPrimary()).isGreaterThan(4)
         repeat(4) {
-            proxy.pass(1_000)
+            proxy.advanceTime(1_000)
             proxy.answerProbes()
         }
         expectThat(connectionsToPrimary()).isEqualTo(1)
@@ -101,9 +101,9 @@
         proxy.send(proxy.session(2, SIGN_OFFS), WRITE)
         val opening = proxy.state.connections.values.first { !it.open }
         proxy.feed(SessionEvent.ConnectionRefused(opening.number, ServerFailure.CONNECTION_LIMIT))
-        proxy.pass(200, groups = false)
+        proxy.advanceTime(200, groups = false)
         expectThat(connectionsToPrimary()).isEqualTo(1)
-        proxy.pass(100, groups = false)
+        proxy.advanceTime(100, groups = false)
         proxy.send(proxy.session(3, SIGN_OFFS), WRITE)
         expectThat(connectionsToPrimary()).isEqualTo(2)
     }
--- a/sessions/src/test/kotlin/dev/hibiscusreach/sessions/SessionStatementTest.kt
+++ b/sessions/src/test/kotlin/dev/hibiscusreach/sessions/SessionStatementTest.kt
@@ -29,7 +29,7 @@
     private val proxy = ProxyFixture().ready()
 
     private fun sentStatements(): List<ServerStatement> =
-        proxy.take().filterIsInstance<SessionEffect.SendStatements>().flatMap { it.statements }
+        proxy.takeEffects().filterIsInstance<SessionEffect.SendStatements>().flatMap { it.statements }
 
     private fun refusalKind(session: SessionNumber): ErrorKind? = (proxy.reply(session) as? SessionReply.Refused)?.kind
 
@@ -38,7 +38,7 @@
         val session = proxy.session(1, SIGN_OFFS)
         proxy.send(session, CallerStatement.Begin(readOnly = false))
         proxy.send(session, statement)
-        repeat(2) { proxy.complete(proxy.busyAt(PRIMARY), TransactionStatus.OPEN) }
+        repeat(2) { proxy.complete(proxy.busyConnection(PRIMARY), TransactionStatus.OPEN) }
         return session
     }
 
@@ -46,7 +46,7 @@
     fun `a write runs at the primary and its answer carries the server's proof - guards against a misrouted write`() {
         val session = proxy.session(1)
         proxy.send(session, WRITE)
-        proxy.complete(proxy.busyAt(PRIMARY))
+        proxy.complete(proxy.busyConnection(PRIMARY))
         expectThat(proxy.reply(session)).isA<SessionReply.Completed>().get { proof }.isEqualTo("proof")
     }
 
@@ -54,8 +54,8 @@
     fun `a read waits at a replica for the session's own write - guards against a session that misses its write`() {
         val session = proxy.session(1)
         proxy.send(session, WRITE)
-        proxy.complete(proxy.busyAt(PRIMARY), index = 12)
-        proxy.take()
+        proxy.complete(proxy.busyConnection(PRIMARY), index = 12)
+        proxy.takeEffects()
         proxy.send(session, READ)
         val read = sentStatements().filterIsInstance<ServerStatement.Run>().single()
         expectThat(read.minimumPosition.toString()).isEqualTo("1.12")
@@ -67,7 +67,7 @@
         proxy.now += 10_001
         val session = proxy.session(1, STATUS)
         proxy.send(session, READ)
-        proxy.pass(1_500, groups = false)
+        proxy.advanceTime(1_500, groups = false)
         expectThat(refusalKind(session)).isEqualTo(ErrorKind.READ_TOO_OLD)
     }
 
@@ -78,14 +78,14 @@
         val session = proxy.session(1, SIGN_OFFS)
         proxy.send(session, READ)
         expectThat(refusalKind(session)).isEqualTo(ErrorKind.NO_PRIMARY)
-        expectThat(proxy.busyAt(PRIMARY)).isNull()
+        expectThat(proxy.busyConnection(PRIMARY)).isNull()
     }
 
     @Test
     fun `a lost connection after a single write leaves the outcome unknown - guards against a false refusal`() {
         val session = proxy.session(1)
         proxy.send(session, WRITE)
-        val connection = checkNotNull(proxy.busyAt(PRIMARY))
+        val connection = checkNotNull(proxy.busyConnection(PRIMARY))
         proxy.feed(SessionEvent.ConnectionLost(connection, ConnectionFailure.BROKEN))
         expectThat(refusalKind(session)).isEqualTo(ErrorKind.OUTCOME_UNKNOWN)
     }
@@ -105,8 +105,8 @@
         val first = proxy.session(1, SIGN_OFFS)
         proxy.send(first, CallerStatement.SetValue("site", "west"))
         proxy.send(first, READ)
-        repeat(2) { proxy.complete(proxy.busyAt(PRIMARY)) }
-        proxy.take()
+        repeat(2) { proxy.complete(proxy.busyConnection(PRIMARY)) }
+        proxy.takeEffects()
         val second = proxy.session(2, SIGN_OFFS)
         proxy.send(second, CallerStatement.Prepare("s1", PreparedStatement(Access.READ, "q1")))
         proxy.send(second, CallerStatement.Execute("s1", "a"))
@@ -119,9 +119,9 @@
     fun `a read that fails at a replica that is behind is retried elsewhere - guards against an avoidable failure`() {
         val session = proxy.session(1, STATUS)
         proxy.send(session, READ)
-        proxy.fail(proxy.busyAt(NEAR_REPLICA), ServerFailure.BEHIND)
+        proxy.fail(proxy.busyConnection(NEAR_REPLICA), ServerFailure.BEHIND)
         proxy.openAll()
-        proxy.complete(proxy.busyAt(PRIMARY))
+        proxy.complete(proxy.busyConnection(PRIMARY))
         expectThat(proxy.reply(session)).isA<SessionReply.Completed>()
     }
 
@@ -129,7 +129,7 @@
     fun `a session that ends within a transaction releases its connection after a rollback - guards against a leak`() {
         val session = openTransaction(READ)
         val connection = proxy.state.connections.values.single { it.heldBy == session }
-        proxy.take()
+        proxy.takeEffects()
         proxy.feed(SessionEvent.SessionEnded(session))
         expectThat(sentStatements()).contains(ServerStatement.Rollback)
         proxy.complete(connection.number)
@@ -139,7 +139,7 @@
     @Test
     fun `an idle transaction is ended and the next statement is refused - guards against a connection held forever`() {
         val session = openTransaction(READ)
-        proxy.pass(3_100, groups = false)
+        proxy.advanceTime(3_100, groups = false)
         proxy.send(session, READ)
         expectThat(refusalKind(session)).isEqualTo(ErrorKind.TRANSACTION_ENDED)
         expectThat(proxy.reply(session)?.status).isEqualTo(TransactionStatus.FAILED)
