--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/ConnectionDispatch.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/ConnectionDispatch.kt
@@ -10,10 +10,10 @@
 import dev.hibiscusreach.core.reducer.ProxyState
 import dev.hibiscusreach.core.reducer.Step
 
-/** Brings waiting attempts and connections together. */
+/** Assigns idle connections to waiting attempts, and opens connections for the remaining waiters. */
 internal object ConnectionDispatch {
-    /** A granted connection comes back. */
-    fun returned(
+    /** Handles the return of a granted connection: keeps it if clean, else closes it. */
+    fun onConnectionReturned(
         state: ProxyState,
         number: ConnectionNumber,
         condition: ConnectionCondition,
@@ -23,20 +23,20 @@
         val use = connection?.use as? ConnectionUse.Granted ?: return Step(state)
         return when (condition) {
             ConnectionCondition.CLEAN -> {
-                val permits = state.pools.permits.returned(use.caller)
+                val permits = state.pools.permits.release(use.caller)
                 val released = state.copy(pools = state.pools.copy(permits = permits))
                 ConnectionLifecycle.makeIdle(released, connection, now)
             }
             ConnectionCondition.DOUBTFUL ->
                 ConnectionRemoval
-                    .drop(state, number)
-                    .then { ConnectionChecks.checkIdleSoon(it, connection.server) }
+                    .close(state, number)
+                    .then { ConnectionHealthChecks.scheduleIdleChecks(it, connection.server) }
                     .then { ShareRelease.connectionReleased(it, connection.server) }
         }.then { dispatch(it, connection.server, now) }
             .then { dispatchCaller(it, use.caller, now) }
     }
 
-    /** Grants idle connections of [server] to its waiters and opens more if the share allows it. */
+    /** Grants idle connections of [server] to its waiters, and opens more within this process's allowance. */
     fun dispatch(state: ProxyState, server: ServerName, now: MonotonicTime): Step {
         var step = Step(state)
         var next = nextGrant(state, server, now)
@@ -46,17 +46,17 @@
             next = nextGrant(step.state, server, now)
         }
         return step
-            .then { openMore(it, server, now) }
+            .then { openConnections(it, server, now) }
             .then { PermitBorrowing.request(it, it.pools.pools[server]?.queue?.callers.orEmpty(), now) }
     }
 
-    /** Dispatches every server of [database]. */
+    /** Dispatches connections of every server of [database]. */
     fun dispatchDatabase(state: ProxyState, database: DatabaseName, now: MonotonicTime): Step =
         state.pools.pools.values
             .filter { it.database == database }
             .fold(Step(state)) { step, pool -> step.then { dispatch(it, pool.server, now) } }
 
-    /** Dispatches the servers for which [caller] waits, after it got permits. */
+    /** Dispatches connections of the servers for which [caller] waits, after it was granted permits. */
     fun dispatchCaller(state: ProxyState, caller: CallerName, now: MonotonicTime): Step =
         state.pools.pools.values
             .filter { it.queue.count(caller) > 0 }
@@ -69,7 +69,7 @@
     ): Pair<Waiter, ConnectionNumber>? {
         val pool = state.pools.pools[server]
         val connection = pool?.idle?.lastOrNull()
-        val waiter = pool?.queue?.poll { state.pools.permits.free(it, now) > 0 }?.first
+        val waiter = pool?.queue?.poll { state.pools.permits.available(it, now) > 0 }?.first
         return if (connection == null || waiter == null) null else waiter to connection
     }
 
@@ -81,16 +81,16 @@
             state.pools
                 .with(pool.copy(idle = pool.idle.remove(number), queue = queue))
                 .with(connection.copy(use = ConnectionUse.Granted(waiter.attempt, waiter.caller)))
-        return Step(state.copy(pools = pools.copy(permits = pools.permits.taken(waiter.caller))))
+        return Step(state.copy(pools = pools.copy(permits = pools.permits.acquire(waiter.caller))))
             .withSignals(Signal.ConnectionGranted(waiter.attempt, number))
     }
 
-    private fun openMore(state: ProxyState, server: ServerName, now: MonotonicTime): Step {
+    private fun openConnections(state: ProxyState, server: ServerName, now: MonotonicTime): Step {
         val pool = state.pools.pools[server]
-        val mayOpen = pool != null && (pool.opensAfter == null || now >= pool.opensAfter)
+        val mayOpen = pool != null && (pool.openRetryAt == null || now >= pool.openRetryAt)
         if (pool == null || !mayOpen) return Step(state)
         val permitted =
-            pool.queue.callers.sumOf { minOf(pool.queue.count(it), maxOf(0, state.pools.permits.free(it, now))) }
+            pool.queue.callers.sumOf { minOf(pool.queue.count(it), maxOf(0, state.pools.permits.available(it, now))) }
         val room = (state.pools.allowances[server] ?: 0) - pool.connections.size
         val missing = minOf(permitted - pool.idle.size - pool.opening, room)
         return (0 until missing).fold(Step(state)) { step, _ ->
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/ConnectionChecks.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/ConnectionHealthChecks.kt
@@ -13,28 +13,28 @@
 import dev.hibiscusreach.core.reducer.ProxyState
 import dev.hibiscusreach.core.reducer.Step
 
-/** Finds idle connections that do not work any more. */
-internal object ConnectionChecks {
-    /** The answer to the check of an idle connection. */
-    fun checked(state: ProxyState, number: ConnectionNumber, answer: SessionAnswer, now: MonotonicTime): Step {
+/** Detects idle connections that no longer work. */
+internal object ConnectionHealthChecks {
+    /** Handles the answer to an idle connection's check: the connection becomes idle again. */
+    fun onCheckAnswered(state: ProxyState, number: ConnectionNumber, answer: SessionAnswer, now: MonotonicTime): Step {
         val connection = state.pools.connections[number]
         val use = connection?.use as? ConnectionUse.Checking ?: return Step(state)
         return ConnectionLifecycle.makeIdle(state, connection, now)
             .withSignals(Signal.ServerObserved(answer.status, sentAt = use.since))
     }
 
-    /** Checks idle connections, and closes those that stayed silent when checked or opened. */
+    /** Checks connections that have been idle for long, and closes those whose check or opening timed out. */
     fun maintain(state: ProxyState, now: MonotonicTime): Step =
         state.pools.connections.values.fold(Step(state)) { step, connection ->
             step.then { maintainConnection(it, connection, now) }
         }
 
-    /** Checks all idle connections of [server] at the next turn, as they may have failed with the one just lost. */
-    fun checkIdleSoon(state: ProxyState, server: ServerName): Step {
+    /** Checks all idle connections of [server] in the next period; they may have failed with the one just lost. */
+    fun scheduleIdleChecks(state: ProxyState, server: ServerName): Step {
         val idle = state.pools.pools[server]?.idle.orEmpty()
         val pools =
             idle.fold(state.pools) { pools, number ->
-                pools.with(pools.connections.getValue(number).copy(use = ConnectionUse.Idle(since = LONG_AGO)))
+                pools.with(pools.connections.getValue(number).copy(use = ConnectionUse.Idle(since = DISTANT_PAST)))
             }
         return Step(state.copy(pools = pools))
     }
@@ -56,24 +56,24 @@
         val settings = state.settings.pool
         return when (val use = connection.use) {
             is ConnectionUse.Opening ->
-                if (now - use.since > settings.openTimeout) giveUpOpening(state, connection, now) else Step(state)
+                if (now - use.since > settings.openTimeout) failTimedOutOpening(state, connection, now) else Step(state)
             is ConnectionUse.Checking ->
-                if (now - use.since > settings.idleProbeTimeout) dropSilent(state, connection) else Step(state)
+                if (now - use.since > settings.idleProbeTimeout) closeUnresponsive(state, connection) else Step(state)
             is ConnectionUse.Idle ->
                 if (now - use.since > settings.idleProbeAfter) check(state, connection, now) else Step(state)
             is ConnectionUse.Granted -> Step(state)
         }
     }
 
-    private fun giveUpOpening(state: ProxyState, connection: PooledConnection, now: MonotonicTime): Step =
+    private fun failTimedOutOpening(state: ProxyState, connection: PooledConnection, now: MonotonicTime): Step =
         ConnectionLifecycle
-            .openFailed(state, connection.number, ConnectionFailure.TIMED_OUT, now)
+            .onConnectionOpenFailed(state, connection.number, ConnectionFailure.TIMED_OUT, now)
             .withEffects(Effect.CloseConnection(connection.number))
 
-    private fun dropSilent(state: ProxyState, connection: PooledConnection): Step =
+    private fun closeUnresponsive(state: ProxyState, connection: PooledConnection): Step =
         ConnectionRemoval
-            .drop(state, connection.number)
+            .close(state, connection.number)
             .then { ShareRelease.connectionReleased(it, connection.server) }
 
-    private val LONG_AGO = MonotonicTime(Long.MIN_VALUE / 2)
+    private val DISTANT_PAST = MonotonicTime(Long.MIN_VALUE / 2)
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/ConnectionLifecycle.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/ConnectionLifecycle.kt
@@ -11,9 +11,9 @@
 import dev.hibiscusreach.core.reducer.ProxyState
 import dev.hibiscusreach.core.reducer.Step
 
-/** Opens, checks and closes session connections. */
+/** Opens session connections and follows them until they are closed. */
 internal object ConnectionLifecycle {
-    /** Opens a connection to [pool]'s server. */
+    /** Opens a connection to [pool]'s server; does nothing if the server is not in the configuration. */
     fun open(state: ProxyState, pool: ServerPool, now: MonotonicTime): Step {
         val server = state.configuration.index.server(pool.server) ?: return Step(state)
         val number = ConnectionNumber(state.pools.nextConnection)
@@ -29,8 +29,8 @@
             )
     }
 
-    /** A connection is ready for use. */
-    fun opened(state: ProxyState, number: ConnectionNumber, now: MonotonicTime): Step {
+    /** Makes a newly opened connection available; closes it if it is not expected any more. */
+    fun onConnectionOpened(state: ProxyState, number: ConnectionNumber, now: MonotonicTime): Step {
         val connection = state.pools.connections[number]
         val pool = connection?.let { state.pools.pools[it.server] }
         return if (pool == null || connection.use !is ConnectionUse.Opening) {
@@ -41,19 +41,19 @@
         }
     }
 
-    /** A connection could not be opened; tries again later, and tells the waiters if none is left to wait for. */
-    fun openFailed(
+    /** Schedules a retry after a failed opening, and denies the waiters if the server has no connection left. */
+    fun onConnectionOpenFailed(
         state: ProxyState,
         number: ConnectionNumber,
         failure: ConnectionFailure,
         now: MonotonicTime,
     ): Step {
         val connection = state.pools.connections[number] ?: return Step(state)
-        val opensAfter = now + state.settings.pool.openRetry
+        val openRetryAt = now + state.settings.pool.openRetry
         val isLimit = failure == ConnectionFailure.LIMIT_REACHED
         val removed =
             ConnectionRemoval.remove(state, connection)
-                .then { Step(it.updatePool(connection.server) { pool -> pool.copy(opensAfter = opensAfter) }) }
+                .then { Step(it.updatePool(connection.server) { pool -> pool.copy(openRetryAt = openRetryAt) }) }
         val reported =
             if (isLimit) {
                 removed.withEffects(Effect.Count(CounterName.CONNECTIONS_REFUSED, label = connection.server.value))
@@ -65,25 +65,25 @@
         return reported.then { ShareRelease.connectionReleased(it, connection.server) }
     }
 
-    /** An open connection was closed by the other side or broke. */
-    fun closed(state: ProxyState, number: ConnectionNumber): Step {
+    /** Handles a connection that was closed by the other side or broke. */
+    fun onConnectionClosed(state: ProxyState, number: ConnectionNumber): Step {
         val connection = state.pools.connections[number] ?: return Step(state)
         val removed = ConnectionRemoval.remove(state, connection)
-        val suspect =
+        val closed =
             removed
-                .then { ConnectionChecks.checkIdleSoon(it, connection.server) }
+                .then { ConnectionHealthChecks.scheduleIdleChecks(it, connection.server) }
                 .then { ShareRelease.connectionReleased(it, connection.server) }
         return if (connection.use is ConnectionUse.Granted) {
-            suspect.withSignals(
+            closed.withSignals(
                 Signal.ConnectionLost(number, ConnectionFailure.BROKEN),
                 Signal.ServerFailed(connection.server, ConnectionFailure.BROKEN),
             )
         } else {
-            suspect
+            closed
         }
     }
 
-    /** A connection works and has no session state; keeps it, unless the share belongs to another home. */
+    /** Makes a working connection without session state idle; closes it if it exceeds the allowance. */
     fun makeIdle(state: ProxyState, connection: PooledConnection, now: MonotonicTime): Step {
         val pool = state.pools.pools.getValue(connection.server)
         val idle =
@@ -92,7 +92,7 @@
                 .with(connection.copy(use = ConnectionUse.Idle(since = now)))
         return ConnectionDispatch
             .dispatch(state.copy(pools = idle), connection.server, now)
-            .then { ConnectionRemoval.dropIfExcess(it, connection.number) }
+            .then { ConnectionRemoval.closeIfExcess(it, connection.number) }
     }
 
     private fun denyIfUnreachable(state: ProxyState, server: ServerName): Step {
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/ConnectionQueue.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/ConnectionQueue.kt
@@ -8,27 +8,27 @@
 import dev.hibiscusreach.core.reducer.ProxyState
 import dev.hibiscusreach.core.reducer.Step
 
-/** The attempts that wait for connections. */
+/** Manages the attempts that wait for connections. */
 internal object ConnectionQueue {
-    /** Queues an attempt; refuses early if this process has no right to the connection or the queue is full. */
-    fun want(state: ProxyState, wanted: Signal.ConnectionRequested, now: MonotonicTime): Step {
-        val database = state.configuration.index.groupOf(wanted.server)?.name
+    /** Queues an attempt; denies it if this process does not hold the share. A full queue evicts one waiter. */
+    fun enqueue(state: ProxyState, request: Signal.ConnectionRequested, now: MonotonicTime): Step {
+        val database = state.configuration.index.groupOf(request.server)?.name
         val role = database?.let { state.pools.roles[it] }
         if (role == null || role is ShareRole.Releasing) {
-            return deny(Step(state), wanted.attempt, ErrorKind.SERVER_UNREACHABLE)
+            return deny(Step(state), request.attempt, ErrorKind.SERVER_UNREACHABLE)
         }
-        val pool = state.pools.pools[wanted.server] ?: ServerPool(wanted.server, database)
-        val waitUntil = minOf(wanted.waitUntil, now + state.settings.pool.queueWait)
-        val queue = pool.queue.add(Waiter(wanted.attempt, wanted.caller, waitUntil))
-        val victim = queue.victim().takeIf { queue.size > state.settings.pool.queueLimit }
-        val kept = if (victim == null) queue else queue.remove(victim)
+        val pool = state.pools.pools[request.server] ?: ServerPool(request.server, database)
+        val waitUntil = minOf(request.waitUntil, now + state.settings.pool.queueWait)
+        val queue = pool.queue.add(Waiter(request.attempt, request.caller, waitUntil))
+        val evicted = queue.evictionCandidate().takeIf { queue.size > state.settings.pool.queueLimit }
+        val kept = if (evicted == null) queue else queue.remove(evicted)
         val queued = Step(state.copy(pools = state.pools.with(pool.copy(queue = kept))))
-        val limited = if (victim == null) queued else deny(queued, victim.attempt, ErrorKind.OVERLOADED)
-        return limited.then { ConnectionDispatch.dispatch(it, wanted.server, now) }
+        val limited = if (evicted == null) queued else deny(queued, evicted.attempt, ErrorKind.OVERLOADED)
+        return limited.then { ConnectionDispatch.dispatch(it, request.server, now) }
     }
 
-    /** Removes an attempt from its queue. */
-    fun withdraw(state: ProxyState, attempt: AttemptNumber): Step {
+    /** Removes an attempt from its queue; does nothing if it is not queued. */
+    fun cancel(state: ProxyState, attempt: AttemptNumber): Step {
         val found =
             state.pools.pools.values.firstNotNullOfOrNull { pool ->
                 pool.queue.waiters.find { it.attempt == attempt }?.let { pool to it }
@@ -36,7 +36,7 @@
         return if (found == null) Step(state) else Step(withoutWaiter(state, found.first, found.second))
     }
 
-    /** Refuses the attempts that have waited too long, and dispatches again where connections can be opened. */
+    /** Denies the attempts whose wait has expired, and dispatches again where connections can be opened. */
     fun maintain(state: ProxyState, now: MonotonicTime): Step =
         state.pools.pools.values
             .filter { !it.queue.isEmpty }
@@ -47,7 +47,7 @@
                     .then { ConnectionDispatch.dispatch(it, pool.server, now) }
             }
 
-    /** Refuses all attempts that wait for [server]. */
+    /** Denies all attempts that wait for [server], with [kind] as the reason. */
     fun denyAll(state: ProxyState, server: ServerName, kind: ErrorKind): Step {
         val pool = state.pools.pools[server] ?: return Step(state)
         val emptied = Step(state.copy(pools = state.pools.with(pool.copy(queue = FairQueue()))))
@@ -57,7 +57,7 @@
     private fun expire(state: ProxyState, server: ServerName, waiter: Waiter, now: MonotonicTime): Step {
         val pool = state.pools.pools[server]
         val isWaiting = pool != null && waiter in pool.queue.waiters
-        val hasPermit = state.pools.permits.free(waiter.caller, now) > 0
+        val hasPermit = state.pools.permits.available(waiter.caller, now) > 0
         val kind = if (hasPermit) ErrorKind.OVERLOADED else ErrorKind.CALLER_LIMIT_REACHED
         return if (pool != null && isWaiting) {
             deny(Step(withoutWaiter(state, pool, waiter)), waiter.attempt, kind)
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/FairQueue.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/FairQueue.kt
@@ -11,26 +11,26 @@
 /** An attempt that waits for a connection. */
 data class Waiter(val attempt: AttemptNumber, val caller: CallerName, val waitUntil: MonotonicTime)
 
-/** The waiting attempts of one server, served round robin between callers. */
+/** The attempts that wait for connections to one server, served round robin across callers. */
 data class FairQueue(
     private val byCaller: PersistentMap<CallerName, PersistentList<Waiter>> = persistentMapOf(),
-    /** Callers that have waiters, the next one to be served first. */
+    /** Callers with waiters, in the order in which they are served. */
     private val order: PersistentList<CallerName> = persistentListOf(),
     val size: Int = 0,
 ) {
-    /** Whether nobody waits. */
+    /** Whether the queue has no waiters. */
     val isEmpty: Boolean get() = size == 0
 
-    /** The callers that wait, the next one to be served first. */
+    /** Callers with waiters, in the order in which they are served. */
     val callers: List<CallerName> get() = order
 
-    /** All waiters. */
+    /** All waiters, grouped by caller; not in the order of service. */
     val waiters: List<Waiter> get() = byCaller.values.flatten()
 
     /** The number of waiters of [caller]. */
     fun count(caller: CallerName): Int = byCaller[caller]?.size ?: 0
 
-    /** This queue with [waiter] at the end of its caller's part. */
+    /** This queue with [waiter] behind the other waiters of its caller. */
     fun add(waiter: Waiter): FairQueue {
         val own = byCaller[waiter.caller]
         return FairQueue(
@@ -40,7 +40,7 @@
         )
     }
 
-    /** Takes the next waiter whose caller passes [isEligible], or null if there is none. */
+    /** The next waiter whose caller passes [isEligible], with the queue that remains; null if there is none. */
     fun poll(isEligible: (CallerName) -> Boolean): Pair<Waiter, FairQueue>? {
         val caller = order.firstOrNull(isEligible) ?: return null
         val waiter = byCaller.getValue(caller).first()
@@ -49,7 +49,7 @@
         return waiter to rest.copy(order = rotated)
     }
 
-    /** This queue without [waiter]. */
+    /** This queue without [waiter]; unchanged if it does not wait. */
     fun remove(waiter: Waiter): FairQueue {
         val own = byCaller[waiter.caller] ?: return this
         val rest = own.remove(waiter)
@@ -60,6 +60,6 @@
         )
     }
 
-    /** The latest waiter of the caller with the most waiters, who gives way when the queue is full. */
-    fun victim(): Waiter? = byCaller.values.maxByOrNull { it.size }?.last()
+    /** The waiter to evict when the queue is full: the latest one of the caller with the most waiters. */
+    fun evictionCandidate(): Waiter? = byCaller.values.maxByOrNull { it.size }?.last()
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/PermitLending.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/PermitLending.kt
@@ -8,16 +8,16 @@
 import dev.hibiscusreach.core.reducer.ProxyState
 import dev.hibiscusreach.core.reducer.Step
 
-/** The lender's side of permits: the permit home's book, and the loans between the homes of failure domains. */
+/** The lender's side of permits: the permit home's ledger, and the loans between the homes of failure domains. */
 internal object PermitLending {
-    /** Lends to this process itself. */
+    /** Lends permits to this process itself, without a message. */
     fun lendLocally(state: ProxyState, request: PeerMessage.PermitsRequested, now: MonotonicTime): Step {
         val lent = lend(state, state.settings.self, request, now)
-        return lent.step.then { PermitBorrowing.granted(it, lent.grant, now) }
+        return lent.step.then { PermitBorrowing.onPermitsGranted(it, lent.grant, now) }
     }
 
-    /** Lends to a process of this failure domain, or to the permit home of another one. */
-    fun requested(
+    /** Lends permits to a process of this failure domain, or to the permit home of another one. */
+    fun onPermitsRequested(
         state: ProxyState,
         from: NodeIdentity,
         request: PeerMessage.PermitsRequested,
@@ -27,47 +27,51 @@
         return lent.step.withEffects(Effect.SendPeerMessage(from, lent.grant))
     }
 
-    /** Renews what was borrowed from other domains and forgets books that are not used. */
+    /** Renews permits borrowed from other domains and removes unused ledgers. */
     fun maintain(state: ProxyState, now: MonotonicTime): Step =
-        state.pools.permits.books.entries.fold(Step(state)) { step, (caller, book) ->
-            val pruned = book.pruned(now)
-            val isUnused = pruned.loans.isEmpty() && pruned.borrowedNow(now) == 0 && now >= pruned.quietUntil
+        state.pools.permits.ledgers.entries.fold(Step(state)) { step, (caller, ledger) ->
+            val pruned = ledger.withoutExpiredLoans(now)
+            val isUnused = pruned.loans.isEmpty() && pruned.availableBorrowed(now) == 0 && now >= pruned.lendingStartsAt
             step
                 .then {
                     Step(
-                        if (isUnused) PermitBooks.withoutBook(it, caller) else PermitBooks.withBook(it, caller, pruned)
+                        if (isUnused) {
+                            PermitLedgers.withoutLedger(it, caller)
+                        } else {
+                            PermitLedgers.withLedger(it, caller, pruned)
+                        }
                     )
                 }
-                .then { DomainBorrowing.renewBorrowed(it, caller, now) }
+                .then { CrossDomainBorrowing.renewBorrowed(it, caller, now) }
         }
 
-    private data class Lent(val step: Step, val grant: PeerMessage.PermitsGranted)
+    private data class LendResult(val step: Step, val grant: PeerMessage.PermitsGranted)
 
     private fun lend(
         state: ProxyState,
         borrower: NodeIdentity,
         request: PeerMessage.PermitsRequested,
         now: MonotonicTime,
-    ): Lent {
+    ): LendResult {
         val ownDomain = state.settings.failureDomain
         val isHome = PermitHomes.home(state, request.caller, ownDomain) == state.settings.self
-        if (!isHome) return Lent(Step(state), grant(request, count = 0, lease = Millis(0)))
-        val opened = PermitBooks.openBook(state, request.caller, now)
-        val book = opened.state.pools.permits.books.getValue(request.caller)
+        if (!isHome) return LendResult(Step(state), grant(request, count = 0, leaseDuration = Millis(0)))
+        val opened = PermitLedgers.openLedger(state, request.caller, now)
+        val ledger = opened.state.pools.permits.ledgers.getValue(request.caller)
         val isLocal = state.membership.domainOf(borrower) == ownDomain
-        val share = if (now >= book.quietUntil) PermitHomes.share(state, request.caller) else 0
-        val capacity = if (isLocal) share + book.borrowedNow(now) else share
+        val share = if (now >= ledger.lendingStartsAt) PermitHomes.share(state, request.caller) else 0
+        val capacity = if (isLocal) share + ledger.availableBorrowed(now) else share
         val settings = state.settings.pool
-        val usesBorrowed = book.lentToOthers(borrower, now) + request.count > share
-        val borrowedFor = book.borrowedUntil(now)?.takeIf { usesBorrowed }?.let { it - now }
-        val lease = minOf(settings.permitLease, borrowedFor ?: settings.permitLease)
-        val pending = PendingPermits(request.sequence, request.count, now)
-        val (updated, count) = book.lend(borrower, pending, capacity, lease + settings.permitMargin)
-        val step = opened.then { Step(PermitBooks.withBook(it, request.caller, updated)) }
+        val usesBorrowed = ledger.lentToOthers(borrower, now) + request.count > share
+        val borrowedFor = ledger.borrowedUntil(now)?.takeIf { usesBorrowed }?.let { it - now }
+        val leaseDuration = minOf(settings.permitLease, borrowedFor ?: settings.permitLease)
+        val pending = PermitRequest(request.sequence, request.count, now)
+        val (updated, count) = ledger.lend(borrower, pending, capacity, leaseDuration + settings.permitMargin)
+        val step = opened.then { Step(PermitLedgers.withLedger(it, request.caller, updated)) }
         val missing = request.count - count
         val borrowing = if (isLocal && missing > 0) {
             step.then {
-                DomainBorrowing.borrow(
+                CrossDomainBorrowing.borrow(
                     it,
                     request.caller,
                     missing,
@@ -77,9 +81,9 @@
         } else {
             step
         }
-        return Lent(borrowing, grant(request, count, lease))
+        return LendResult(borrowing, grant(request, count, leaseDuration))
     }
 
-    private fun grant(request: PeerMessage.PermitsRequested, count: Int, lease: Millis) =
-        PeerMessage.PermitsGranted(request.sequence, request.caller, count, lease.value)
+    private fun grant(request: PeerMessage.PermitsRequested, count: Int, leaseDuration: Millis) =
+        PeerMessage.PermitsGranted(request.sequence, request.caller, count, leaseDuration.value)
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/PermitsState.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/PermitsState.kt
@@ -5,30 +5,31 @@
 import kotlinx.collections.immutable.PersistentMap
 import kotlinx.collections.immutable.persistentMapOf
 
-/** The permits with which the connection limits of callers are kept over the whole fleet. */
+/** The permits that enforce the connection limits of callers across the fleet. */
 data class PermitsState(
-    /** What this process has borrowed for its own use. */
-    val accounts: PersistentMap<CallerName, PermitAccount> = persistentMapOf(),
-    /** What this process lends as the permit home of callers in its failure domain. */
-    val books: PersistentMap<CallerName, PermitBook> = persistentMapOf(),
+    /** Permits that this process has borrowed for its own use. */
+    val leases: PersistentMap<CallerName, PermitLease> = persistentMapOf(),
+    /** Permits that this process lends as the permit home of callers in its failure domain. */
+    val ledgers: PersistentMap<CallerName, PermitLedger> = persistentMapOf(),
     /** When a process that may have lent permits was last lost; this process's own start counts as such a loss. */
-    val lossAt: MonotonicTime? = null,
+    val lastLenderLossAt: MonotonicTime? = null,
     val nextSequence: Long = 1,
 ) {
-    /** Permits of [caller] that can be taken now. */
-    fun free(caller: CallerName, now: MonotonicTime): Int = accounts[caller]?.free(now) ?: 0
+    /** Number of permits of [caller] that can be acquired now. */
+    fun available(caller: CallerName, now: MonotonicTime): Int = leases[caller]?.available(now) ?: 0
 
-    /** One permit of [caller] is in use from now on. */
-    internal fun taken(caller: CallerName): PermitsState = update(caller) { it.taken() }
+    /** This state with one more permit of [caller] in use. */
+    internal fun acquire(caller: CallerName): PermitsState = update(caller) { it.acquire() }
 
-    /** One permit of [caller] is not in use any more. */
-    internal fun returned(caller: CallerName): PermitsState = update(caller) { it.returned() }
+    /** This state with one permit of [caller] less in use. */
+    internal fun release(caller: CallerName): PermitsState = update(caller) { it.release() }
 
-    internal fun with(caller: CallerName, account: PermitAccount): PermitsState =
-        copy(accounts = accounts.put(caller, account))
+    internal fun with(caller: CallerName, lease: PermitLease): PermitsState =
+        copy(leases = leases.put(caller, lease))
 
-    internal fun with(caller: CallerName, book: PermitBook): PermitsState = copy(books = books.put(caller, book))
+    internal fun with(caller: CallerName, ledger: PermitLedger): PermitsState =
+        copy(ledgers = ledgers.put(caller, ledger))
 
-    private fun update(caller: CallerName, change: (PermitAccount) -> PermitAccount): PermitsState =
-        with(caller, change(accounts[caller] ?: PermitAccount()))
+    private fun update(caller: CallerName, change: (PermitLease) -> PermitLease): PermitsState =
+        with(caller, change(leases[caller] ?: PermitLease()))
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/PooledConnection.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/PooledConnection.kt
@@ -6,18 +6,18 @@
 import dev.hibiscusreach.core.model.MonotonicTime
 import dev.hibiscusreach.core.model.ServerName
 
-/** What a session connection is doing. */
+/** The current use of a session connection. */
 sealed interface ConnectionUse {
     /** The connection is being set up. */
     data class Opening(val since: MonotonicTime) : ConnectionUse
 
-    /** Nobody uses the connection. */
+    /** The connection is open and not in use. */
     data class Idle(val since: MonotonicTime) : ConnectionUse
 
-    /** A reset was sent, to see whether the connection still works. */
+    /** A reset was sent to check whether the connection still works. */
     data class Checking(val attempt: AttemptNumber, val since: MonotonicTime) : ConnectionUse
 
-    /** The connection belongs to an attempt or transaction of [caller]. */
+    /** The connection is used by an attempt or transaction of [caller]. */
     data class Granted(val attempt: AttemptNumber, val caller: CallerName) : ConnectionUse
 }
 
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/PoolsPart.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/PoolsPart.kt
@@ -19,20 +19,20 @@
         when (event) {
             is Event.Started -> start(state, context.now)
             is Event.TimerFired -> if (event.key == TimerKey.PoolPeriod) maintain(state, context.now) else Step(state)
-            is Event.PeerMessageReceived -> receive(state, event.from, event.message, context.now)
+            is Event.PeerMessageReceived -> handlePeerMessage(state, event.from, event.message, context.now)
             is Signal -> handleSignal(state, event, context.now)
             else -> handleConnection(state, event, context.now)
         }
 
     private fun handleConnection(state: ProxyState, event: Event, now: MonotonicTime): Step =
         when (event) {
-            is Event.ConnectionOpened -> ConnectionLifecycle.opened(state, event.connection, now)
+            is Event.ConnectionOpened -> ConnectionLifecycle.onConnectionOpened(state, event.connection, now)
             is Event.ConnectionOpenFailed ->
-                ConnectionLifecycle.openFailed(state, event.connection, event.failure, now)
-            is Event.ConnectionClosed -> ConnectionLifecycle.closed(state, event.connection)
+                ConnectionLifecycle.onConnectionOpenFailed(state, event.connection, event.failure, now)
+            is Event.ConnectionClosed -> ConnectionLifecycle.onConnectionClosed(state, event.connection)
             is Event.SessionAnswered ->
                 if (event.attempt.owner == PartName.POOLS) {
-                    ConnectionChecks.checked(state, event.connection, event.answer, now)
+                    ConnectionHealthChecks.onCheckAnswered(state, event.connection, event.answer, now)
                 } else {
                     Step(state)
                 }
@@ -41,33 +41,38 @@
 
     private fun handleSignal(state: ProxyState, signal: Signal, now: MonotonicTime): Step =
         when (signal) {
-            is Signal.ConnectionRequested -> ConnectionQueue.want(state, signal, now)
-            is Signal.ConnectionRequestCancelled -> ConnectionQueue.withdraw(state, signal.attempt)
+            is Signal.ConnectionRequested -> ConnectionQueue.enqueue(state, signal, now)
+            is Signal.ConnectionRequestCancelled -> ConnectionQueue.cancel(state, signal.attempt)
             is Signal.ConnectionReturned ->
-                ConnectionDispatch.returned(state, signal.connection, signal.condition, now)
+                ConnectionDispatch.onConnectionReturned(state, signal.connection, signal.condition, now)
             is Signal.MembershipChanged, is Signal.ConfigurationChanged, is Signal.DrainPhaseChanged ->
                 ShareRoles.evaluate(state, now)
-            is Signal.PeerGone -> noteLoss(state, signal.node, now)
+            is Signal.PeerGone -> recordPeerLoss(state, signal.node, now)
             is Signal.PauseDetected -> recoverFromPause(state, now)
             else -> Step(state)
         }
 
-    private fun receive(state: ProxyState, from: NodeIdentity, message: PeerMessage, now: MonotonicTime): Step =
+    private fun handlePeerMessage(
+        state: ProxyState,
+        from: NodeIdentity,
+        message: PeerMessage,
+        now: MonotonicTime,
+    ): Step =
         when (message) {
-            is PeerMessage.SharesRequested -> ShareRelease.requested(state, from, message.database)
-            is PeerMessage.SharesRemaining -> ShareAcquisition.remaining(state, from, message, now)
-            is PeerMessage.PermitsRequested -> PermitLending.requested(state, from, message, now)
+            is PeerMessage.SharesRequested -> ShareRelease.onSharesRequested(state, from, message.database)
+            is PeerMessage.SharesRemaining -> ShareAcquisition.onSharesRemaining(state, from, message, now)
+            is PeerMessage.PermitsRequested -> PermitLending.onPermitsRequested(state, from, message, now)
             is PeerMessage.PermitsGranted ->
                 PermitBorrowing
-                    .granted(state, message, now)
-                    .then { DomainBorrowing.granted(it, from, message, now) }
-            is PeerMessage.PermitLoansRequested -> PermitBooks.bookRequested(state, from, message.caller, now)
-            is PeerMessage.PermitLoansDelivered -> PermitBooks.bookDelivered(state, message, now)
+                    .onPermitsGranted(state, message, now)
+                    .then { CrossDomainBorrowing.onPermitsGranted(it, from, message, now) }
+            is PeerMessage.PermitLoansRequested -> PermitLedgers.onLoansRequested(state, from, message.caller, now)
+            is PeerMessage.PermitLoansDelivered -> PermitLedgers.onLoansDelivered(state, message, now)
             else -> Step(state)
         }
 
     private fun start(state: ProxyState, now: MonotonicTime): Step {
-        val permits = state.pools.permits.copy(lossAt = now)
+        val permits = state.pools.permits.copy(lastLenderLossAt = now)
         return Step(state.copy(pools = state.pools.copy(permits = permits)))
             .withEffects(Effect.StartTimer(TimerKey.PoolPeriod, state.settings.pool.period))
             .then { ShareRoles.evaluate(it, now) }
@@ -77,16 +82,16 @@
         Step(state)
             .withEffects(Effect.StartTimer(TimerKey.PoolPeriod, state.settings.pool.period))
             .then { ShareAcquisition.advance(it, now) }
-            .then { ConnectionChecks.maintain(it, now) }
+            .then { ConnectionHealthChecks.maintain(it, now) }
             .then { ConnectionQueue.maintain(it, now) }
             .then { PermitBorrowing.maintain(it, now) }
             .then { PermitLending.maintain(it, now) }
 
-    private fun noteLoss(state: ProxyState, node: NodeIdentity, now: MonotonicTime): Step {
+    private fun recordPeerLoss(state: ProxyState, node: NodeIdentity, now: MonotonicTime): Step {
         val isOwnDomain = state.membership.domainOf(node) == state.settings.failureDomain
-        val permits = state.pools.permits.copy(lossAt = now)
+        val permits = state.pools.permits.copy(lastLenderLossAt = now)
         return if (isOwnDomain) {
-            Step(state.copy(pools = state.pools.copy(permits = permits, homeLossAt = now)))
+            Step(state.copy(pools = state.pools.copy(permits = permits, lastHomeLossAt = now)))
         } else {
             Step(state)
         }
@@ -95,6 +100,6 @@
     private fun recoverFromPause(state: ProxyState, now: MonotonicTime): Step =
         state.pools.pools.values
             .flatMap { it.idle }
-            .fold(Step(state)) { step, number -> step.then { ConnectionRemoval.drop(it, number) } }
-            .then { ShareRoles.afterPause(it, now) }
+            .fold(Step(state)) { step, number -> step.then { ConnectionRemoval.close(it, number) } }
+            .then { ShareRoles.reacquireAfterPause(it, now) }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/PoolsState.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/PoolsState.kt
@@ -13,24 +13,24 @@
     val pools: PersistentMap<ServerName, ServerPool> = persistentMapOf(),
     val connections: PersistentMap<ConnectionNumber, PooledConnection> = persistentMapOf(),
     val permits: PermitsState = PermitsState(),
-    /** Connections that this process may hold for each server, from its role and the inventory. */
+    /** Number of connections that this process may hold to each server, from its role and the inventory. */
     val allowances: PersistentMap<ServerName, Int> = persistentMapOf(),
     /** When a process of this failure domain, which may have been a home, was last lost. */
-    val homeLossAt: MonotonicTime? = null,
+    val lastHomeLossAt: MonotonicTime? = null,
     val nextConnection: Long = 1,
     val nextAttempt: Long = 1,
 ) {
-    /** Connections of this process's share that could serve a request to [server] now; below 0 if requests wait. */
+    /** Connections of this process's share that could serve a request to [server] now; below 0 if requests queue. */
     fun freeConnections(server: ServerName): Int {
         val pool = pools[server]
         return (allowances[server] ?: 0) - (pool?.busy ?: 0) - (pool?.queue?.size ?: 0)
     }
 
-    /** This state with [pool] in its place, or removed if it holds nothing. */
+    /** This state with [pool] replacing its server's pool, or without that pool if [pool] is unused. */
     internal fun with(pool: ServerPool): PoolsState =
         copy(pools = if (pool.isUnused) pools.remove(pool.server) else pools.put(pool.server, pool))
 
-    /** This state with [connection] in its place. */
+    /** This state with [connection] added, or replacing the one with its number. */
     internal fun with(connection: PooledConnection): PoolsState =
         copy(connections = connections.put(connection.number, connection))
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/ServerPool.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/ServerPool.kt
@@ -13,18 +13,18 @@
 data class ServerPool(
     val server: ServerName,
     val database: DatabaseName,
-    /** All connections, whatever their use. */
+    /** All connections, including those that are being opened or checked. */
     val connections: PersistentSet<ConnectionNumber> = persistentSetOf(),
     /** Idle connections, the most recently used one last. */
     val idle: PersistentList<ConnectionNumber> = persistentListOf(),
     val opening: Int = 0,
     val queue: FairQueue = FairQueue(),
-    /** No connection is opened before this time, after the server refused one. */
-    val opensAfter: MonotonicTime? = null,
+    /** No connection is opened before this time, because an earlier one could not be opened. */
+    val openRetryAt: MonotonicTime? = null,
 ) {
-    /** Connections that belong to attempts or are being checked. */
+    /** Number of connections that are in use or being checked. */
     val busy: Int get() = connections.size - idle.size - opening
 
-    /** Whether this pool holds nothing. */
+    /** Whether this pool has neither connections nor waiters. */
     val isUnused: Boolean get() = connections.isEmpty() && queue.isEmpty
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/ShareAcquisition.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/ShareAcquisition.kt
@@ -8,29 +8,29 @@
 import dev.hibiscusreach.core.reducer.ProxyState
 import dev.hibiscusreach.core.reducer.Step
 
-/** Takes the share of a database over from earlier homes. */
+/** Acquires the connection share of a database from earlier homes. */
 internal object ShareAcquisition {
-    /** Starts to take the share of [database] over, and asks the other processes of the domain what they hold. */
+    /** Starts to acquire the share of [database], and asks the other processes of the domain what they hold. */
     fun begin(state: ProxyState, database: DatabaseName, now: MonotonicTime): Step {
-        val role = ShareRole.Acquiring(until = now + state.settings.pool.takeoverDelay, askedAt = now)
+        val role = ShareRole.Acquiring(takesOverAt = now + state.settings.pool.takeoverDelay, requestedAt = now)
         return ShareAllowances
             .withRole(state, database, role)
             .then { Step(it, requests(it, database, domainPeers(it))) }
     }
 
-    /** Takes note of what an earlier home still holds. */
-    fun remaining(
+    /** Records the connections that an earlier home still holds. */
+    fun onSharesRemaining(
         state: ProxyState,
         from: NodeIdentity,
         message: PeerMessage.SharesRemaining,
         now: MonotonicTime,
     ): Step {
         val role = state.pools.roles[message.database] as? ShareRole.Acquiring ?: return Step(state)
-        val noted = role.copy(remaining = role.remaining.put(from, message.connections))
-        return advanceRole(state, message.database, noted, now)
+        val updated = role.copy(holdings = role.holdings.put(from, message.connections))
+        return advanceRole(state, message.database, updated, now)
     }
 
-    /** Asks again those that have not answered, and goes on where nobody is left to wait for. */
+    /** Repeats unanswered requests, and advances each share whose wait for other processes is over. */
     fun advance(state: ProxyState, now: MonotonicTime): Step =
         state.pools.roles.entries.fold(Step(state)) { step, (database, role) ->
             if (role is ShareRole.Acquiring) step.then { advanceRole(it, database, role, now) } else step
@@ -42,34 +42,34 @@
         role: ShareRole.Acquiring,
         now: MonotonicTime,
     ): Step {
-        val silent = domainPeers(state).filterNot { it in role.remaining }
-        val held = role.remaining.filterKeys(state.membership::isLive).values.sumOf { it.values.sum() }
-        val isCleared = isCleared(state, role, silent, now)
-        val asksAgain = silent.isNotEmpty() && now - role.askedAt >= state.settings.pool.openRetry
+        val unanswered = domainPeers(state).filterNot { it in role.holdings }
+        val held = role.holdings.filterKeys(state.membership::isLive).values.sumOf { it.values.sum() }
+        val isOpeningAllowed = isOpeningAllowed(state, role, unanswered, now)
+        val isRetryDue = unanswered.isNotEmpty() && now - role.requestedAt >= state.settings.pool.openRetry
         val next =
             when {
-                isCleared && held == 0 -> ShareRole.Held
-                asksAgain -> role.copy(isCleared = isCleared, askedAt = now)
-                else -> role.copy(isCleared = isCleared)
+                isOpeningAllowed && held == 0 -> ShareRole.Held
+                isRetryDue -> role.copy(isOpeningAllowed = isOpeningAllowed, requestedAt = now)
+                else -> role.copy(isOpeningAllowed = isOpeningAllowed)
             }
         return ShareAllowances
             .withRole(state, database, next)
-            .then { Step(it, if (asksAgain) requests(it, database, silent) else emptyList()) }
+            .then { Step(it, if (isRetryDue) requests(it, database, unanswered) else emptyList()) }
             .then { ConnectionDispatch.dispatchDatabase(it, database, now) }
     }
 
-    // A process that knows no peer of its domain may not have found them yet, and a lost one may only be paused: both
-    // wait for the takeover delay.
-    private fun isCleared(
+    // A process that knows no peer of its domain may not have discovered them yet, and a lost peer may only be paused.
+    // In both cases the takeover delay has to pass first.
+    private fun isOpeningAllowed(
         state: ProxyState,
         role: ShareRole.Acquiring,
-        silent: List<NodeIdentity>,
+        unanswered: List<NodeIdentity>,
         now: MonotonicTime,
     ): Boolean {
-        val lostAt = state.pools.homeLossAt
+        val lostAt = state.pools.lastHomeLossAt
         val hasRecentLoss = lostAt != null && now - lostAt < state.settings.pool.takeoverDelay
-        val allAnswered = silent.isEmpty() && role.remaining.isNotEmpty()
-        return now >= role.until || allAnswered && !hasRecentLoss
+        val allAnswered = unanswered.isEmpty() && role.holdings.isNotEmpty()
+        return now >= role.takesOverAt || allAnswered && !hasRecentLoss
     }
 
     private fun domainPeers(state: ProxyState): List<NodeIdentity> =
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/ShareAllowances.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/ShareAllowances.kt
@@ -7,13 +7,13 @@
 import dev.hibiscusreach.core.reducer.Step
 import kotlinx.collections.immutable.toPersistentMap
 
-/** Sets roles and the allowances that follow from them. */
+/** Sets the roles of this process and the connection allowances derived from them. */
 internal object ShareAllowances {
-    /** Ends the role of this process for [database]. */
-    fun forget(state: ProxyState, database: DatabaseName): Step =
+    /** Removes the role of this process for [database]; its allowances stay. */
+    fun removeRole(state: ProxyState, database: DatabaseName): Step =
         Step(state.copy(pools = state.pools.copy(roles = state.pools.roles.remove(database))))
 
-    /** Sets the role of this process for [database]. */
+    /** Sets the role of this process for [database], and computes the allowances of the database's servers. */
     fun withRole(state: ProxyState, database: DatabaseName, role: ShareRole): Step {
         val group = state.configuration.index.group(database)
         val domain = state.settings.failureDomain
@@ -33,10 +33,10 @@
     private fun allowance(state: ProxyState, role: ShareRole, server: ServerName, share: Int): Int =
         when (role) {
             is ShareRole.Held -> share
-            is ShareRole.Acquiring -> if (role.isCleared) share - heldByOthers(state, role, server) else 0
+            is ShareRole.Acquiring -> if (role.isOpeningAllowed) share - heldByOthers(state, role, server) else 0
             is ShareRole.Releasing -> 0
         }
 
     private fun heldByOthers(state: ProxyState, role: ShareRole.Acquiring, server: ServerName): Int =
-        role.remaining.filterKeys(state.membership::isLive).values.sumOf { it[server] ?: 0 }
+        role.holdings.filterKeys(state.membership::isLive).values.sumOf { it[server] ?: 0 }
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/ShareRole.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/ShareRole.kt
@@ -12,18 +12,18 @@
     data object Held : ShareRole
 
     /**
-     * This process is the home, but an earlier home may still hold connections of the share. Opens what the other
-     * processes of the failure domain say they do not hold, once all have answered or [until] has passed.
+     * This process is the home, but an earlier home may still hold connections of the share. Connections that the other
+     * processes of the failure domain do not report as held are opened once all have answered or at [takesOverAt].
      */
     data class Acquiring(
-        val until: MonotonicTime,
-        val askedAt: MonotonicTime,
-        /** The connections that each process that has answered still holds. */
-        val remaining: PersistentMap<NodeIdentity, Map<ServerName, Int>> = persistentMapOf(),
-        /** Whether nobody is left who could hold connections without having said so. */
-        val isCleared: Boolean = false,
+        val takesOverAt: MonotonicTime,
+        val requestedAt: MonotonicTime,
+        /** Number of connections to each server that a process has reported as still held. */
+        val holdings: PersistentMap<NodeIdentity, Map<ServerName, Int>> = persistentMapOf(),
+        /** Whether the wait for other processes is over, so that connections not reported as held may be opened. */
+        val isOpeningAllowed: Boolean = false,
     ) : ShareRole
 
-    /** Another process is the home; what is still in use is closed as it comes back. */
+    /** Another process is the home; connections still in use are closed when they are returned. */
     data class Releasing(val successor: NodeIdentity?) : ShareRole
 }
--- a/core/src/main/kotlin/dev/hibiscusreach/core/pool/ShareRoles.kt
+++ b/core/src/main/kotlin/dev/hibiscusreach/core/pool/ShareRoles.kt
@@ -6,17 +6,17 @@
 import dev.hibiscusreach.core.reducer.ProxyState
 import dev.hibiscusreach.core.reducer.Step
 
-/** Moves the shares of connections between homes as the membership and the inventory change. */
+/** Moves connection shares between homes when the membership or the inventory changes. */
 internal object ShareRoles {
-    /** Compares every role with the present membership and inventory. */
+    /** Updates every role to the current membership and inventory. */
     fun evaluate(state: ProxyState, now: MonotonicTime): Step {
         val groups = state.configuration.index.databaseGroups
         val evaluated = groups.fold(Step(state)) { step, group -> step.then { evaluateGroup(it, group, now) } }
         return evaluated.then { ShareRelease.releaseRemovedGroups(it) }
     }
 
-    /** Gives every held share up until it is acquired again, because another home may have taken it during a pause. */
-    fun afterPause(state: ProxyState, now: MonotonicTime): Step =
+    /** Acquires every held share again after a pause, as another home may have taken it over meanwhile. */
+    fun reacquireAfterPause(state: ProxyState, now: MonotonicTime): Step =
         state.pools.roles.entries.fold(Step(state)) { step, (database, role) ->
             when (role) {
                 is ShareRole.Held, is ShareRole.Acquiring -> step.then { ShareAcquisition.begin(it, database, now) }
--- a/core/src/test/kotlin/dev/hibiscusreach/core/pool/FairQueueTest.kt
+++ b/core/src/test/kotlin/dev/hibiscusreach/core/pool/FairQueueTest.kt
@@ -21,23 +21,24 @@
         expectThat(served(queue) { true }).isEqualTo(listOf<Long>(1, 4, 2, 3))
     }
 
-    // Guards against a caller without permits that blocks those behind it.
+    // Guards against a caller without permits that blocks the callers queued behind it.
     @Test
-    fun `callers that are not eligible are passed over and keep their place`() {
+    fun `callers that are not eligible are skipped and keep their position`() {
         val queue = queue(busy to 1, quiet to 2, busy to 3)
 
         expectThat(served(queue) { it == quiet }).isEqualTo(listOf<Long>(2))
         expectThat(queue.poll { it == quiet }?.second?.count(busy)).isEqualTo(2)
     }
 
-    // Guards against a full queue that refuses the caller with the fewest waiters.
+    // Guards against a full queue that evicts a waiter of a caller with few waiters.
     @Test
-    fun `the latest waiter of the caller with the most waiters gives way`() {
-        expectThat(queue(busy to 1, busy to 2, quiet to 3).victim()?.attempt?.value).isEqualTo(2)
+    fun `the latest waiter of the caller with the most waiters is evicted`() {
+        expectThat(queue(busy to 1, busy to 2, quiet to 3).evictionCandidate()?.attempt?.value).isEqualTo(2)
     }
 
+    // Guards against a queue that still counts removed waiters and so never frees its pool.
     @Test
-    fun `a queue is empty after its last waiter left`() {
+    fun `a queue is empty after its last waiter is removed`() {
         val queue = queue(busy to 1)
 
         expectThat(queue.remove(queue.waiters.single()).isEmpty).isTrue()
--- a/systemtests/src/test/kotlin/dev/hibiscusreach/systemtests/fleet/LimitCheck.kt
+++ b/systemtests/src/test/kotlin/dev/hibiscusreach/systemtests/fleet/LimitCheck.kt
@@ -31,7 +31,7 @@
     }
 
     private fun inUse(proxy: FakeProxy, caller: CallerName): Int =
-        proxy.state.pools.permits.accounts[caller]?.inUse ?: 0
+        proxy.state.pools.permits.leases[caller]?.inUse ?: 0
 
     private fun checkGenerations() {
         fleet.proxies.forEach { (endpoint, proxy) ->
