--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/backend/HttpServerControl.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/backend/HttpServerControl.kt
@@ -7,24 +7,24 @@
 import dev.hibiscusreach.core.event.Event
 import dev.hibiscusreach.runtime.adapter.ServerControl
 import dev.hibiscusreach.runtime.http.HttpCall
-import dev.hibiscusreach.runtime.http.HttpCaller
+import dev.hibiscusreach.runtime.http.HttpClient
 import dev.hibiscusreach.runtime.http.HttpMessage
 import dev.hibiscusreach.runtime.http.HttpOutcome
 import dev.hibiscusreach.runtime.loop.EventSink
 import io.netty.channel.EventLoopGroup
 import kotlinx.serialization.SerializationException
 
-/** Control commands over HTTP/1.1 with JSON, on keep-alive connections. */
+/** Sends control commands to backend servers as JSON over HTTP/1.1, on keep-alive connections. */
 class HttpServerControl(group: EventLoopGroup, private val sink: EventSink) : ServerControl {
-    private val caller = HttpCaller(group, MAXIMUM_RESPONSE_BYTES)
+    private val client = HttpClient(group, MAXIMUM_RESPONSE_BYTES)
 
     override fun send(effect: Effect.SendControlCommand) {
         val body = ServerWire.json.encodeToString(ControlCommand.serializer(), effect.command)
         val call = HttpCall(effect.endpoint, HttpMessage("POST", "/control", body), effect.timeout)
-        caller.call(call) { sink.submit(event(effect, it)) }
+        client.call(call) { sink.submit(event(effect, it)) }
     }
 
-    override fun close() = caller.close()
+    override fun close() = client.close()
 
     private fun event(effect: Effect.SendControlCommand, outcome: HttpOutcome): Event =
         when (outcome) {
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/backend/HttpServerSessions.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/backend/HttpServerSessions.kt
@@ -17,7 +17,7 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.Future
 
-/** Session connections over HTTP/1.1 with JSON, one TCP connection for each [ConnectionNumber]. */
+/** Session connections to backend servers: JSON over HTTP/1.1, one TCP connection for each [ConnectionNumber]. */
 class HttpServerSessions(
     private val group: EventLoopGroup,
     private val sink: EventSink,
@@ -105,7 +105,7 @@
             connection.close()
         }
 
-        // A connection that the reducer closed is no longer registered, and no event may follow.
+        // The reducer expects no event for a connection that it closed, which is no longer in the map.
         private fun end(event: Event) {
             if (sessions.remove(number) != null) sink.submit(event)
         }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/backend/ServerWire.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/backend/ServerWire.kt
@@ -4,7 +4,7 @@
 import org.slf4j.Logger
 import org.slf4j.LoggerFactory
 
-/** What the clients of backend servers have in common. */
+/** Status codes, JSON format and logger shared by the clients of backend servers. */
 internal object ServerWire {
     const val STATUS_OK = 200
     const val STATUS_UNAVAILABLE = 503
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/backend/SessionLimits.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/backend/SessionLimits.kt
@@ -6,9 +6,9 @@
 /** Limits of session connections to backend servers. */
 data class SessionLimits(
     val openTimeout: Millis = 2.seconds,
-    /** Above every deadline of the reducer; it only ends connections that the reducer lost sight of. */
+    /** Longer than every deadline of the reducer; it only closes connections that the reducer no longer tracks. */
     val answerTimeout: Millis = 60.seconds,
-    /** An answer that is forwarded must fit into a frame of 1 MiB between proxies. */
+    /** A forwarded answer must fit into a frame of 1 MiB between proxies. */
     val maximumResponseBytes: Int = MAXIMUM_RESPONSE_BYTES,
 ) {
     private companion object {
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/AnswerWriter.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/AnswerEncoder.kt
@@ -4,19 +4,19 @@
 import dev.hibiscusreach.core.model.Outcome
 import kotlinx.serialization.json.Json
 
-/** An HTTP response to a caller. */
-class WrittenAnswer(val status: Int, val body: String, val retryAfterMillis: Long? = null)
+/** Status, JSON body and retry delay of an HTTP response to a caller. */
+class EncodedAnswer(val status: Int, val body: String, val retryAfterMillis: Long? = null)
 
-/** Turns answers into HTTP responses and signs their tokens. */
-class AnswerWriter(private val signer: TokenSigner) {
-    /** The response for [answer] to the request called [identifier]. */
-    fun write(identifier: String?, answer: CallerAnswer): WrittenAnswer =
+/** Encodes answers as HTTP responses and signs their session tokens. */
+class AnswerEncoder(private val signer: TokenSigner) {
+    /** Encodes [answer] to the request [identifier], which is null if the request had no valid identifier. */
+    fun encode(identifier: String?, answer: CallerAnswer): EncodedAnswer =
         when (answer) {
-            is CallerAnswer.Completed -> completed(identifier.orEmpty(), answer)
-            is CallerAnswer.Refused -> refused(identifier, answer)
+            is CallerAnswer.Completed -> encodeCompleted(identifier.orEmpty(), answer)
+            is CallerAnswer.Refused -> encodeRefused(identifier, answer)
         }
 
-    private fun completed(identifier: String, answer: CallerAnswer.Completed): WrittenAnswer {
+    private fun encodeCompleted(identifier: String, answer: CallerAnswer.Completed): EncodedAnswer {
         val body =
             SuccessBody(
                 requestId = identifier,
@@ -29,10 +29,10 @@
                 replayed = answer.replayed,
                 ageMillis = answer.ageMillis,
             )
-        return WrittenAnswer(STATUS_OK, json.encodeToString(SuccessBody.serializer(), body))
+        return EncodedAnswer(STATUS_OK, json.encodeToString(SuccessBody.serializer(), body))
     }
 
-    private fun refused(identifier: String?, answer: CallerAnswer.Refused): WrittenAnswer {
+    private fun encodeRefused(identifier: String?, answer: CallerAnswer.Refused): EncodedAnswer {
         val body =
             FailureBody(
                 requestId = identifier,
@@ -42,7 +42,7 @@
                 retryAfterMillis = answer.retryAfterMillis,
             )
         val text = json.encodeToString(FailureBody.serializer(), body)
-        return WrittenAnswer(answer.kind.httpStatus, text, answer.retryAfterMillis)
+        return EncodedAnswer(answer.kind.httpStatus, text, answer.retryAfterMillis)
     }
 
     private companion object {
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/AnswerQueue.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/AnswerQueue.kt
@@ -11,66 +11,69 @@
 import io.netty.handler.codec.http.HttpResponseStatus
 import io.netty.handler.codec.http.HttpVersion
 
-/** The answers of one connection, in the order of its requests. Used on the channel's thread. */
+/**
+ * Sends the answers of one connection in the order of its requests, as HTTP/1.1 pipelining requires.
+ * Confined to the channel's event loop.
+ */
 internal class AnswerQueue(
     private val context: ChannelHandlerContext,
-    private val writer: AnswerWriter,
+    private val encoder: AnswerEncoder,
     private val listener: Listener,
 ) {
-    /** Told of the answers that leave the queue. */
+    /** Receives notifications about answers that are sent. */
     interface Listener {
-        /** Whether no request will follow the ones in the queue. */
+        /** Whether no request will follow those in the queue. */
         val inputEnded: Boolean
 
-        /** The last answer is written; requests that arrive from now on are not read. */
+        /** Called when the last answer is written; later requests on the connection are ignored. */
         fun lastWritten()
 
-        /** An answer to a request of [size] bytes was sent, or failed to be sent. */
+        /** Called when the write of an answer to a request of [size] bytes completed or failed. */
         fun sent(size: Int, last: Boolean)
     }
 
-    /** The place of one request. */
-    class Place(val size: Int, val keepAlive: Boolean) {
+    /** A request in the queue and, once it is known, the response to it. */
+    class PendingAnswer(val size: Int, val keepAlive: Boolean) {
         var arrival: ArrivalNumber? = null
-        var response: WrittenAnswer? = null
+        var response: EncodedAnswer? = null
     }
 
-    private val places = ArrayDeque<Place>()
+    private val pending = ArrayDeque<PendingAnswer>()
     private var lastWritten = false
 
-    /** Adds a place at the end. */
-    fun add(place: Place) = places.addLast(place)
+    /** Appends [entry] to the queue. */
+    fun add(entry: PendingAnswer) = pending.addLast(entry)
 
-    /** Fills the place of [arrival]. */
+    /** Sets the answer to the request [arrival]; ignored if the request is no longer queued. */
     fun answer(arrival: ArrivalNumber, identifier: String, answer: CallerAnswer) {
-        places.find { it.arrival == arrival }?.let { fill(it, identifier, answer) }
+        pending.find { it.arrival == arrival }?.let { fill(it, identifier, answer) }
     }
 
-    /** Fills [place] and sends all answers that are not behind an open place. */
-    fun fill(place: Place, identifier: String?, answer: CallerAnswer) {
-        place.response = writer.write(identifier, answer)
-        while (!lastWritten && places.firstOrNull()?.response != null) send(places.removeFirst())
+    /** Sets the answer of [entry] and sends the answers at the head of the queue up to the first unanswered request. */
+    fun fill(entry: PendingAnswer, identifier: String?, answer: CallerAnswer) {
+        entry.response = encoder.encode(identifier, answer)
+        while (!lastWritten && pending.firstOrNull()?.response != null) send(pending.removeFirst())
     }
 
-    /** Arrivals that wait for an answer. */
-    fun unanswered(): List<ArrivalNumber> = places.filter { it.response == null }.mapNotNull { it.arrival }
+    /** Requests without an answer. */
+    fun unanswered(): List<ArrivalNumber> = pending.filter { it.response == null }.mapNotNull { it.arrival }
 
-    /** Empties the queue; returns the size of its requests. */
-    fun clear(): Int = places.sumOf { it.size }.also { places.clear() }
+    /** Empties the queue and returns the total size of its requests in bytes. */
+    fun clear(): Int = pending.sumOf { it.size }.also { pending.clear() }
 
-    private fun send(place: Place) {
-        val answer = checkNotNull(place.response)
-        lastWritten = !place.keepAlive || (listener.inputEnded && places.isEmpty())
+    private fun send(entry: PendingAnswer) {
+        val answer = checkNotNull(entry.response)
+        lastWritten = !entry.keepAlive || (listener.inputEnded && pending.isEmpty())
         val last = lastWritten
         if (last) listener.lastWritten()
-        context.writeAndFlush(response(answer, last)).addListener { listener.sent(place.size, last) }
+        context.writeAndFlush(response(answer, last)).addListener { listener.sent(entry.size, last) }
     }
 
     companion object {
         private const val MILLIS_PER_SECOND = 1_000L
 
-        /** [answer] as an HTTP response with its exact length; [last] closes the connection after it. */
-        fun response(answer: WrittenAnswer, last: Boolean): FullHttpResponse {
+        /** Builds the HTTP response for [answer]; if [last], it announces that the connection closes. */
+        fun response(answer: EncodedAnswer, last: Boolean): FullHttpResponse {
             val body = Unpooled.wrappedBuffer(answer.body.encodeToByteArray())
             val status = HttpResponseStatus.valueOf(answer.status)
             val response = DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body)
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/ByteBudget.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/ByteBudget.kt
@@ -2,18 +2,18 @@
 
 import java.util.concurrent.atomic.AtomicLong
 
-/** Bounds the memory of all requests together. */
+/** Limits the bytes that the bodies of all requests may occupy together. Thread-safe. */
 internal class ByteBudget(private val limit: Long) {
     private val used = AtomicLong()
 
-    /** Takes [size] bytes; false if they are not available. */
+    /** Reserves [size] bytes; returns false and reserves nothing if that would exceed the limit. */
     fun reserve(size: Int): Boolean {
         val available = used.addAndGet(size.toLong()) <= limit
         if (!available) release(size)
         return available
     }
 
-    /** Returns [size] bytes. */
+    /** Releases [size] reserved bytes. */
     fun release(size: Int) {
         used.addAndGet(-size.toLong())
     }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/CallerChannelHandler.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/CallerChannelHandler.kt
@@ -7,14 +7,17 @@
 import io.netty.util.ReferenceCountUtil
 import org.slf4j.LoggerFactory
 
-/** Passes the events of a channel on to its [CallerConnection]. */
+/** Forwards the events of a Netty channel to its [CallerConnection]. */
 internal class CallerChannelHandler(private val endpoint: CallerEndpoint) : ChannelInboundHandlerAdapter() {
     private lateinit var connection: CallerConnection
 
-    /** Tells the connection of bytes before they are decoded, because the decoder holds incomplete headers back. */
-    inner class ArrivalWatch : ChannelInboundHandlerAdapter() {
+    /**
+     * Placed before the HTTP decoder, which passes nothing on until the headers are complete, so that the receive
+     * timeout starts with the first byte.
+     */
+    inner class InboundBytesHandler : ChannelInboundHandlerAdapter() {
         override fun channelRead(context: ChannelHandlerContext, message: Any) {
-            connection.collector.bytesArrived(context)
+            connection.aggregator.bytesArrived(context)
             super.channelRead(context, message)
         }
     }
@@ -26,7 +29,7 @@
 
     override fun channelRead(context: ChannelHandlerContext, message: Any) {
         try {
-            connection.collector.accept(context, message)
+            connection.aggregator.accept(context, message)
         } finally {
             ReferenceCountUtil.release(message)
         }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/CallerEndpoint.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/CallerEndpoint.kt
@@ -16,13 +16,13 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.atomic.AtomicLong
 
-/** Told of each request when its answer is sent. */
+/** Observes answered requests, such as for metrics. */
 fun interface RequestObserver {
-    /** [answer] was given [nanos] after the request's arrival. */
+    /** Called when [answer] is given, [nanos] nanoseconds after the request's arrival. */
     fun answered(answer: CallerAnswer, nanos: Long)
 }
 
-/** The HTTP endpoint for callers. */
+/** The HTTP endpoint for callers: submits their requests as events and routes the answers to the connections. */
 class CallerEndpoint(
     private val sink: EventSink,
     signer: TokenSigner,
@@ -34,22 +34,22 @@
     private class Waiting(val connection: CallerConnection, val since: Long)
 
     internal val reader = RequestReader(signer)
-    internal val writer = AnswerWriter(signer)
+    internal val encoder = AnswerEncoder(signer)
     internal val budget = ByteBudget(limits.maximumBufferedBytes)
     private val arrivals = AtomicLong()
     private val waiting = ConcurrentHashMap<ArrivalNumber, Waiting>()
     private val connections: MutableSet<CallerConnection> = ConcurrentHashMap.newKeySet()
     private var listener: Channel? = null
 
-    /** Set when connections close after their next answer. */
+    /** Whether connections close after their next answer. */
     @Volatile
     internal var isClosing = false
         private set
 
-    /** Open connections. */
+    /** Number of open connections. */
     val connectionCount: Int get() = connections.size
 
-    /** Requests without an answer. */
+    /** Number of requests without an answer. */
     val requestsInFlight: Int get() = waiting.size
 
     /** Listens at [address]; returns the address with its actual port. */
@@ -65,14 +65,14 @@
         request.connection.answer(effect.arrival, effect.identifier.value, effect.answer)
     }
 
-    // While the load balancer may still send new connections, only the busy ones are asked to close; idle ones are
-    // closed once it has had time to notice.
+    // While the load balancer may still open connections, connections close only after their next answer. Idle ones
+    // are closed later, once it has had time to detect that this proxy is leaving.
     override fun drainAdvanced(phase: DrainPhase) {
         if (phase != DrainPhase.SERVING) isClosing = true
         if (phase >= DrainPhase.FINISHING) connections.forEach(CallerConnection::closeIfIdle)
     }
 
-    /** Stops listening and closes the connections once their answers are sent. */
+    /** Stops listening and closes connections as they become idle; returns after 2 s at the latest. */
     override fun close() {
         isClosing = true
         listener?.close()?.syncUninterruptibly()
@@ -83,8 +83,8 @@
         }
     }
 
-    /** Whether another connection may be opened. */
-    internal val hasRoom: Boolean get() = connections.size < limits.maximumConnections
+    /** Whether the connection limit allows another connection. */
+    internal val acceptsConnections: Boolean get() = connections.size < limits.maximumConnections
 
     internal fun opened(connection: CallerConnection) {
         connections.add(connection)
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/CallerWire.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/CallerMessages.kt
@@ -11,9 +11,9 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** Names of the headers of caller requests. */
+/** Header names of caller requests. */
 object CallerHeaders {
-    /** Who sends the request. */
+    /** Name of the caller that sends the request. */
     const val CALLER: String = "Hibiscusreach-Caller"
 
     /** The signed session token of an earlier answer. */
@@ -23,7 +23,7 @@
     const val REQUEST_ID: String = "Hibiscusreach-Request-Id"
 }
 
-/** Whether the statements of a request may change data, as callers write it. */
+/** Declares whether the statements of a request only read or may change data. */
 @Serializable
 enum class AccessField {
     @SerialName("read")
@@ -77,6 +77,6 @@
     val retryAfterMillis: Long? = null,
 )
 
-/** What went wrong. */
+/** Machine-readable kind and human-readable message of an error. */
 @Serializable
 data class ErrorDetail(val kind: String, val message: String)
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/CallerPipeline.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/CallerPipeline.kt
@@ -12,12 +12,12 @@
 import io.netty.handler.timeout.WriteTimeoutHandler
 import java.util.concurrent.TimeUnit
 
-/** Sets a caller connection up. */
+/** Sets up the channel pipeline of a caller connection, or refuses it above the connection limit. */
 internal class CallerPipeline(private val endpoint: CallerEndpoint) : ChannelInitializer<SocketChannel>() {
     private val limits = endpoint.limits
 
     override fun initChannel(channel: SocketChannel) {
-        if (endpoint.hasRoom) accept(channel) else refuse(channel)
+        if (endpoint.acceptsConnections) accept(channel) else refuse(channel)
     }
 
     private fun accept(channel: SocketChannel) {
@@ -30,7 +30,7 @@
         channel.pipeline().addLast(
             IdleStateHandler(0, 0, limits.idleTimeout.value, TimeUnit.MILLISECONDS),
             WriteTimeoutHandler(limits.sendTimeout.value, TimeUnit.MILLISECONDS),
-            handler.ArrivalWatch(),
+            handler.InboundBytesHandler(),
             HttpServerCodec(decoder),
             FlowControlHandler(),
             handler,
@@ -39,8 +39,8 @@
 
     private fun refuse(channel: SocketChannel) {
         channel.pipeline().addLast(HttpResponseEncoder(), DiscardHandler())
-        val refusal = Refused(ErrorKind.OVERLOADED, "too many connections", PAUSE_MILLIS)
-        val response = AnswerQueue.response(endpoint.writer.write(identifier = null, refusal), last = true)
+        val refusal = Refused(ErrorKind.OVERLOADED, "too many connections", RETRY_AFTER_MILLIS)
+        val response = AnswerQueue.response(endpoint.encoder.encode(identifier = null, refusal), last = true)
         channel.eventLoop().execute {
             channel.writeAndFlush(response).addListener { LingeringClose.begin(channel) }
         }
@@ -48,6 +48,6 @@
 
     private companion object {
         const val CHUNK_BYTES = 8 * 1024
-        const val PAUSE_MILLIS = 1_000L
+        const val RETRY_AFTER_MILLIS = 1_000L
     }
 }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/DiscardHandler.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/DiscardHandler.kt
@@ -4,7 +4,7 @@
 import io.netty.channel.ChannelInboundHandlerAdapter
 import io.netty.util.ReferenceCountUtil
 
-/** Discards all input of a connection that is being closed. */
+/** Discards all input of a refused connection. */
 internal class DiscardHandler : ChannelInboundHandlerAdapter() {
     override fun channelRead(context: ChannelHandlerContext, message: Any) {
         ReferenceCountUtil.release(message)
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/IncomingRequest.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/IncomingRequest.kt
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpUtil
 import java.io.ByteArrayOutputStream
 
-/** A request whose body is being received. */
+/** A request whose headers are complete and whose body is being received. */
 internal class IncomingRequest(private val request: HttpRequest) {
     private val body = ByteArrayOutputStream()
 
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/InputRefusals.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/InputRefusals.kt
@@ -6,12 +6,12 @@
 import io.netty.handler.codec.http.TooLongHttpHeaderException
 import io.netty.handler.codec.http.TooLongHttpLineException
 
-/** Refusals of input that cannot be read as a request. */
+/** Creates the refusals of input that is too large, incomplete or not valid HTTP. */
 internal class InputRefusals(private val limits: CallerLimits) {
     fun tooLarge() =
         Refused(ErrorKind.REQUEST_TOO_LARGE, "the body is larger than ${limits.maximumBodyBytes} bytes")
 
-    fun overloaded() = Refused(ErrorKind.OVERLOADED, "too many requests are in progress", PAUSE_MILLIS)
+    fun overloaded() = Refused(ErrorKind.OVERLOADED, "too many requests are in progress", RETRY_AFTER_MILLIS)
 
     fun incomplete() =
         Refused(ErrorKind.REQUEST_INCOMPLETE, "the request did not arrive whole within the time limit")
@@ -26,6 +26,6 @@
         }
 
     private companion object {
-        const val PAUSE_MILLIS = 1_000L
+        const val RETRY_AFTER_MILLIS = 1_000L
     }
 }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/LingeringClose.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/LingeringClose.kt
@@ -5,8 +5,9 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * Closes a connection after its last answer. Closing while the caller still sends would reset the connection and could
- * destroy the answer, so the output is shut down first and input is discarded until the caller closes.
+ * Closes a connection after its last answer. Closing while the caller still sends would reset the connection, and
+ * the caller could lose the answer. So only the output is shut down, and input is discarded until the caller closes
+ * the connection or the linger time ends.
  */
 internal object LingeringClose {
     private const val LINGER_MILLIS = 1_000L
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/OperationReader.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/OperationReader.kt
@@ -15,7 +15,7 @@
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.json.Json
 
-/** What a request asks for, from its method, path and body. */
+/** The operation that a request's method, path and body specify. */
 internal class Operation(
     val database: DatabaseName,
     val body: RequestBody,
@@ -24,9 +24,9 @@
     val needsIdentifier: Boolean = false,
 )
 
-/** Reads method, path and body of caller requests. */
+/** Parses method, path and body of caller requests into an [Operation]. */
 internal object OperationReader {
-    // Unknown fields are refused: a misspelled "repeatable" or "maximumAgeMillis" must not be ignored silently.
+    // Rejects unknown fields: a misspelled "repeatable" or "maximumAgeMillis" must not be ignored silently.
     private val json = Json
 
     fun read(received: ReceivedRequest): Result<Operation, Refused> {
@@ -34,7 +34,7 @@
         val route = Route.of(received.method, segments)
         return when {
             route == null -> Err(Refused(ErrorKind.NO_SUCH_RESOURCE, "no such method and path"))
-            !segments.drop(Route.DATABASE).all(Names::isValid) -> malformed("a name in the path is not valid")
+            !segments.drop(Route.DATABASE).all(NameSyntax::isValid) -> malformed("a name in the path is not valid")
             else -> read(route, DatabaseName(segments[Route.DATABASE]), segments.getOrElse(Route.NAME) { "" }, received)
         }
     }
@@ -63,13 +63,13 @@
         }
 
     private fun statements(database: DatabaseName, body: StatementsBody): Result<Operation, Refused> {
-        val once = body.access == AccessField.WRITE && !body.repeatable
+        val atMostOnce = body.access == AccessField.WRITE && !body.repeatable
         return when {
             body.statements.isEmpty() -> malformed("statements is empty")
             body.maximumAgeMillis != null && body.maximumAgeMillis < 0 -> malformed("maximumAgeMillis is negative")
-            once && body.createdAtMillis == null ->
+            atMostOnce && body.createdAtMillis == null ->
                 malformed("createdAtMillis is required for a write that is not repeatable")
-            else -> Ok(Operation(database, requestBody(body), body.deadlineMillis, needsIdentifier = once))
+            else -> Ok(Operation(database, requestBody(body), body.deadlineMillis, needsIdentifier = atMostOnce))
         }
     }
 
@@ -111,7 +111,7 @@
         try {
             Ok(json.decodeFromString(serializer, text))
         } catch (failure: SerializationException) {
-            // The first line names the fault; the following ones repeat the caller's input.
+            // The first line describes the error; the following lines repeat the caller's input.
             malformed("the body cannot be read: ${failure.message?.lineSequence()?.first()}")
         }
 }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/RequestCollector.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/RequestAggregator.kt
@@ -15,21 +15,21 @@
 import java.util.concurrent.Future
 import java.util.concurrent.TimeUnit
 
-/** Joins the parts of each request of one connection, within the limits of size and time. */
-internal class RequestCollector(
+/** Assembles the requests of one connection from decoded HTTP messages and enforces the size and time limits. */
+internal class RequestAggregator(
     private val limits: CallerLimits,
     private val budget: ByteBudget,
     private val listener: Listener,
 ) {
-    /** Told of each request. */
+    /** Receives each request or the refusal of invalid input. */
     interface Listener {
         /** Whether an interim response would reach the caller before the answers to earlier requests. */
         val hasUnsentAnswers: Boolean
 
-        /** A request arrived whole. */
+        /** Called when a request is complete. */
         fun received(request: IncomingRequest)
 
-        /** The input cannot be read any further; [size] bytes of it are still in the budget. */
+        /** Called when the rest of the input cannot be read; [size] bytes remain reserved in the budget. */
         fun refused(refusal: Refused, size: Int)
     }
 
@@ -37,22 +37,22 @@
     private var request: IncomingRequest? = null
     private var timeout: Future<*>? = null
 
-    /** Whether a request arrived in part. */
+    /** Whether a request has been received in part. */
     val isReceiving: Boolean get() = timeout != null
 
-    /** Set once no further request is read: after a fault, a close by either side, or a last answer. */
+    /** Whether reading has ended: after invalid input, a close by either side, or the last answer. */
     var hasEnded = false
         private set
 
-    /** Starts the time limit of a request with its first bytes. */
+    /** Starts the receive timeout with the first bytes of a request. */
     fun bytesArrived(context: ChannelHandlerContext) {
         if (timeout == null && !hasEnded) {
             timeout =
-                context.executor().schedule(::interrupted, limits.receiveTimeout.value, TimeUnit.MILLISECONDS)
+                context.executor().schedule(::requestIncomplete, limits.receiveTimeout.value, TimeUnit.MILLISECONDS)
         }
     }
 
-    /** Takes the next part. */
+    /** Processes the next decoded message. */
     fun accept(context: ChannelHandlerContext, message: Any) {
         val failure = (message as? HttpObject)?.decoderResult()?.cause()
         if (hasEnded) return
@@ -64,18 +64,18 @@
         }
     }
 
-    /** The request did not arrive whole in time, or the caller stopped sending. */
-    fun interrupted() {
+    /** Refuses a request that timed out or that the caller stopped sending. */
+    fun requestIncomplete() {
         refuse(refusals.incomplete())
     }
 
-    /** Reads no further request. */
+    /** Stops reading requests. */
     fun end() {
         hasEnded = true
         stopTimeout()
     }
 
-    /** Drops a request that arrived in part; returns its size. */
+    /** Drops a partly received request and returns its size in bytes. */
     fun clear(): Int {
         val size = request?.size ?: 0
         request = null
@@ -99,11 +99,11 @@
         when {
             request.size + bytes.readableBytes() > limits.maximumBodyBytes -> refuse(refusals.tooLarge())
             !budget.reserve(bytes.readableBytes()) -> refuse(refusals.overloaded())
-            else -> take(request, bytes, last = content is LastHttpContent)
+            else -> appendPart(request, bytes, last = content is LastHttpContent)
         }
     }
 
-    private fun take(request: IncomingRequest, bytes: ByteBuf, last: Boolean) {
+    private fun appendPart(request: IncomingRequest, bytes: ByteBuf, last: Boolean) {
         request.append(bytes)
         if (last) {
             this.request = null
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/RequestReader.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/RequestReader.kt
@@ -15,7 +15,7 @@
 import dev.hibiscusreach.core.model.seconds
 import java.util.UUID
 
-/** A caller's HTTP request as received, whole. */
+/** A complete HTTP request of a caller, before validation. */
 class ReceivedRequest(
     val method: String,
     val path: String,
@@ -24,9 +24,9 @@
     val header: (String) -> List<String>,
 )
 
-/** Checks the form of caller requests and verifies their tokens. All other checks are the reducer's. */
+/** Validates the syntax of caller requests and verifies their tokens. The reducer makes all other checks. */
 class RequestReader(private val signer: TokenSigner) {
-    /** The request, or the refusal to answer it with. */
+    /** Parses [received]; the error is the refusal to send to the caller. */
     fun read(received: ReceivedRequest): Result<CallerRequest, Refused> =
         binding {
             val operation = OperationReader.read(received).bind()
@@ -40,9 +40,9 @@
             )
         }
 
-    /** The request's identifier for error responses, if the caller gave a valid one. */
+    /** The request's identifier for error responses; null if it is missing or not valid. */
     fun identifierOf(received: ReceivedRequest): String? =
-        received.header(CallerHeaders.REQUEST_ID).singleOrNull()?.takeIf(Names::isValid)
+        received.header(CallerHeaders.REQUEST_ID).singleOrNull()?.takeIf(NameSyntax::isValid)
 
     private fun identifier(received: ReceivedRequest, required: Boolean): Result<RequestIdentifier, Refused> {
         val values = received.header(CallerHeaders.REQUEST_ID)
@@ -57,7 +57,7 @@
         received
             .header(CallerHeaders.CALLER)
             .singleOrNull()
-            ?.takeIf(Names::isValid)
+            ?.takeIf(NameSyntax::isValid)
             ?.let { Ok(CallerName(it)) }
             ?: invalid(CallerHeaders.CALLER)
 
@@ -84,13 +84,13 @@
     }
 }
 
-/** The form of names in requests. */
-internal object Names {
+/** The syntax of names and identifiers in requests. */
+internal object NameSyntax {
     private const val MAXIMUM_LENGTH = 128
     private val pattern = Regex("[A-Za-z0-9._:-]{1,$MAXIMUM_LENGTH}")
 
     fun isValid(name: String): Boolean = pattern.matches(name)
 }
 
-/** Refuses a request because of its form. */
+/** Refuses a request with invalid syntax. */
 internal fun malformed(message: String): Result<Nothing, Refused> = Err(Refused(ErrorKind.MALFORMED_REQUEST, message))
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/Route.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/Route.kt
@@ -1,6 +1,6 @@
 package dev.hibiscusreach.runtime.caller
 
-/** The resources of the caller endpoint, as path segments; null stands for a name. */
+/** The resources of the caller endpoint, as path segments; null matches any name. */
 internal enum class Route(private val method: String, private vararg val segments: String?) {
     STATEMENTS("POST", "v1", "databases", null, "statements"),
     BEGIN("POST", "v1", "databases", null, "transactions"),
@@ -20,7 +20,7 @@
         /** Index of the transaction's identifier, or of a request's identifier in [OUTCOME]. */
         const val NAME: Int = 4
 
-        /** The route of a request, or null if there is none. */
+        /** Finds the route for a method and path; null if none matches. */
         fun of(method: String, path: List<String>): Route? =
             entries.find { it.method == method && it.matches(path) }
     }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/TokenSigner.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/caller/TokenSigner.kt
@@ -11,22 +11,22 @@
 import javax.crypto.Mac
 import javax.crypto.spec.SecretKeySpec
 
-/** A session token that was not signed with the key, or cannot be read. */
+/** Why a session token was rejected: it is not signed with the key or cannot be parsed. */
 data class InvalidToken(val reason: String)
 
-/** Writes session tokens as signed text and verifies them: `base64url(JSON).base64url(HMAC-SHA256)`. */
+/** Signs and verifies session tokens in the format `base64url(JSON).base64url(HMAC-SHA256)`. */
 class TokenSigner(key: ByteArray) {
     private val key = SecretKeySpec(key, ALGORITHM)
     private val encoder = Base64.getUrlEncoder().withoutPadding()
     private val decoder = Base64.getUrlDecoder()
 
-    /** [token] as signed text. */
+    /** Serializes and signs [token]. */
     fun sign(token: SessionToken): String {
         val payload = encoder.encodeToString(Json.encodeToString(SessionToken.serializer(), token).encodeToByteArray())
         return payload + SEPARATOR + encoder.encodeToString(signature(payload))
     }
 
-    /** The token that [text] holds, if it was signed with the key. */
+    /** Parses [text] if its signature is valid for the key. */
     fun verify(text: String): Result<SessionToken, InvalidToken> {
         val payload = text.substringBeforeLast(SEPARATOR, missingDelimiterValue = "")
         val signature = decode(text.substringAfterLast(SEPARATOR))
@@ -42,7 +42,7 @@
             Err(InvalidToken("the session token cannot be read: ${failure.message?.lineSequence()?.first()}"))
         }
 
-    @Suppress("SwallowedException") // Text that is not Base64 is an expected input; its details help nobody.
+    @Suppress("SwallowedException") // Text that is not Base64 is expected input; the exception adds no information.
     private fun decode(text: String): ByteArray? =
         try {
             decoder.decode(text)
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/http/HttpCall.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/http/HttpCall.kt
@@ -17,15 +17,15 @@
     val endpoint: Endpoint,
     val message: HttpMessage,
     val timeout: Millis,
-    /** Whether sending the request again does no harm if its connection breaks. */
+    /** Whether the request may safely be sent again if its connection breaks. */
     val repeatable: Boolean = true,
 )
 
 /** How an [HttpCall] ended. */
 sealed interface HttpOutcome {
-    /** The whole response arrived. */
+    /** A complete response was received. */
     data class Answered(val status: Int, val body: String) : HttpOutcome
 
-    /** No whole response arrived. */
+    /** No complete response was received. */
     data class Failed(val failure: ConnectionFailure) : HttpOutcome
 }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/http/HttpCaller.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/http/HttpClient.kt
@@ -6,10 +6,10 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * Makes HTTP calls over keep-alive connections, each with one call at a time. All calls run on one thread of [group],
- * so that the connections need no locks.
+ * An HTTP/1.1 client with a pool of keep-alive connections for each endpoint; calls are not pipelined. All calls run
+ * on one thread of [group], so that the connections need no locks.
  */
-class HttpCaller(
+class HttpClient(
     group: EventLoopGroup,
     private val maximumResponseBytes: Int,
 ) : AutoCloseable {
@@ -31,7 +31,7 @@
         executor.execute { destinations.values.forEach(Destination::closeAll) }
     }
 
-    /** The connections to one endpoint. */
+    /** The connection pool of one endpoint. */
     private inner class Destination(private val endpoint: Endpoint) : HttpConnection.Listener {
         private val open = HashSet<HttpConnection>()
         private val idle = ArrayDeque<HttpConnection>()
@@ -47,7 +47,7 @@
             }
         }
 
-        // Other connections to the endpoint may be as unresponsive as this one, so none of them is used again.
+        // Other connections to the endpoint may be as unresponsive as this one, so all idle ones are closed as well.
         fun timedOut(exchange: HttpExchange) {
             waiting.remove(exchange)
             val connection = busy.entries.find { it.value === exchange }?.key
@@ -77,7 +77,7 @@
             val exchange = busy.remove(connection)
             when {
                 exchange == null -> Unit
-                exchange.mayBeSentAgain -> connect(exchange)
+                exchange.isRetryable -> connect(exchange)
                 else -> exchange.end(HttpOutcome.Failed(failure))
             }
             if (open.size < MAXIMUM_CONNECTIONS) waiting.removeFirstOrNull()?.let(::connect)
@@ -98,7 +98,7 @@
             connection.send(exchange.call.message)
         }
 
-        private fun keep(connection: HttpConnection) {
+        private fun keepIdle(connection: HttpConnection) {
             idle.addLast(connection)
             val expire = { if (idle.remove(connection)) connection.close() }
             connection.idleTimeout = executor.schedule(expire, IDLE_MILLIS, TimeUnit.MILLISECONDS)
@@ -108,19 +108,19 @@
             val next = waiting.removeFirstOrNull()
             when {
                 next != null -> send(next, connection, reused = true)
-                idle.size < MAXIMUM_IDLE -> keep(connection)
+                idle.size < MAXIMUM_IDLE -> keepIdle(connection)
                 else -> connection.close()
             }
         }
     }
 
     private companion object {
-        /** Closes the connections to servers that left the inventory. */
+        /** Time after which an idle connection is closed, such as one to a server that left the inventory. */
         const val IDLE_MILLIS = 30_000L
 
         const val MAXIMUM_IDLE = 16
 
-        /** Bounds the connections when many calls wait for a slow endpoint. */
+        /** Limits the connections to one endpoint when many calls wait for its responses. */
         const val MAXIMUM_CONNECTIONS = 64
     }
 }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/http/HttpConnection.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/http/HttpConnection.kt
@@ -25,25 +25,25 @@
 /** A client connection that carries one exchange at a time. */
 internal class HttpConnection(private val endpoint: Endpoint, private val listener: Listener) :
     SimpleChannelInboundHandler<FullHttpResponse>() {
-    /** Told of what happens on the connection, on the channel's thread. */
+    /** Receives the events of the connection, on the channel's event loop. */
     interface Listener {
         /** The TCP connection is established. */
         fun connected(connection: HttpConnection)
 
-        /** A whole response arrived; [reusable] tells whether the server keeps the connection open. */
+        /** A complete response was received; [reusable] tells whether the server keeps the connection open. */
         fun answered(connection: HttpConnection, answer: HttpOutcome.Answered, reusable: Boolean)
 
-        /** The connection could not be established or is closed. Called once, last. */
+        /** The connection could not be established or was closed. Called once, after all other events. */
         fun closed(connection: HttpConnection, failure: ConnectionFailure)
     }
 
     private lateinit var channel: Channel
 
-    /** Ends the time for which the owner keeps the connection without a use. */
+    /** Closes the connection when it has been idle for too long; set by the owner. */
     var idleTimeout: Future<*>? = null
     private var finished = false
 
-    /** Starts to connect. */
+    /** Starts to connect; the listener is notified of the result. */
     fun connect(group: EventLoopGroup, timeoutMillis: Int, maximumResponseBytes: Int) {
         val connecting =
             SocketConnector.connect(group, endpoint, timeoutMillis) { channel ->
@@ -54,7 +54,7 @@
         connecting.addListener { connectEnded(connecting) }
     }
 
-    /** Sends a request. */
+    /** Sends [message]; the connection is closed if the write fails. */
     fun send(message: HttpMessage) {
         val content = Unpooled.wrappedBuffer(message.body.encodeToByteArray())
         val method = HttpMethod.valueOf(message.method)
@@ -68,14 +68,14 @@
         channel.writeAndFlush(request).addListener { if (!it.isSuccess) channel.close() }
     }
 
-    /** Runs [action] on the channel's thread. */
+    /** Runs [action] on the channel's event loop. */
     fun execute(action: () -> Unit) = channel.eventLoop().execute(action)
 
-    /** Runs [action] on the channel's thread after [delay]. */
+    /** Runs [action] on the channel's event loop after [delay]. */
     fun schedule(delay: Millis, action: () -> Unit): Future<*> =
         channel.eventLoop().schedule(action, delay.value, TimeUnit.MILLISECONDS)
 
-    /** Closes the connection. */
+    /** Closes the connection; the listener is notified. */
     fun close() {
         channel.close()
     }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/http/HttpExchange.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/http/HttpExchange.kt
@@ -9,17 +9,17 @@
     private var ended = false
     var timeout: Future<*>? = null
 
-    /** Whether the call was sent on a connection that had carried another one before. */
+    /** Whether the call was sent on a connection that an earlier call had used. */
     var reused = false
 
-    /** Time left for the call, at least a millisecond. */
+    /** Time left until the call's timeout, at least 1 ms. */
     val remainingMillis: Long
         get() = maxOf(1L, call.timeout.value - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt))
 
-    /** A server may close an idle connection at the moment at which it is used again. */
-    val mayBeSentAgain: Boolean get() = reused && call.repeatable && !ended
+    /** Whether to retry after a broken connection: a server may close an idle connection just as it is reused. */
+    val isRetryable: Boolean get() = reused && call.repeatable && !ended
 
-    /** Reports [outcome], unless another one was reported before. */
+    /** Completes the exchange with [outcome]; later calls have no effect. */
     fun end(outcome: HttpOutcome) {
         if (!ended) {
             ended = true
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/http/SocketConnector.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/http/SocketConnector.kt
@@ -15,7 +15,7 @@
 
 /** Opens TCP connections. */
 object SocketConnector {
-    /** Connects to [endpoint]; [adjust] sets further options, and [prepare] gets the channel before it is used. */
+    /** Connects to [endpoint]; [adjust] sets further options, and [prepare] initializes the channel. */
     fun connect(
         group: EventLoopGroup,
         endpoint: Endpoint,
@@ -37,11 +37,11 @@
             .connect(InetSocketAddress(endpoint.address, endpoint.port))
     }
 
-    /** Why a connection could not be established; null if it is. Only a refusal tells that nothing listens there. */
+    /** Why the connection attempt failed; null if it succeeded. Only REFUSED proves that nothing listens there. */
     fun failure(connecting: ChannelFuture): ConnectionFailure? =
         when (connecting.cause()) {
             null -> null
-            // A time-out is a ConnectException as well.
+            // ConnectTimeoutException is a subclass of ConnectException, so it is checked first.
             is ConnectTimeoutException -> ConnectionFailure.TIMED_OUT
             is ConnectException -> ConnectionFailure.REFUSED
             else -> ConnectionFailure.BROKEN
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/http/SocketListener.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/http/SocketListener.kt
@@ -10,7 +10,7 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel
 import java.net.InetSocketAddress
 
-/** An address at which the process cannot listen. */
+/** The process cannot listen at an address. */
 class BindException(address: Endpoint, cause: Throwable) :
     Exception("cannot listen at $address: ${cause.message}", cause)
 
@@ -18,7 +18,10 @@
 object SocketListener {
     private const val BACKLOG = 1_024
 
-    /** Listens at [address]; each accepted channel gets [pipeline]. */
+    /**
+     * Listens at [address]; [pipeline] initializes each accepted channel.
+     * @throws BindException if the address cannot be bound
+     */
     fun bind(group: EventLoopGroup, address: Endpoint, pipeline: ChannelInitializer<SocketChannel>): Channel {
         val bound =
             ServerBootstrap()
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/platform/HttpPlatformClient.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/platform/HttpPlatformClient.kt
@@ -8,7 +8,7 @@
 import dev.hibiscusreach.core.model.Endpoint
 import dev.hibiscusreach.core.model.Millis
 import dev.hibiscusreach.runtime.adapter.PlatformClient
-import dev.hibiscusreach.runtime.http.HttpCaller
+import dev.hibiscusreach.runtime.http.HttpClient
 import dev.hibiscusreach.runtime.http.HttpOutcome
 import dev.hibiscusreach.runtime.loop.EventSink
 import io.netty.channel.EventLoopGroup
@@ -21,7 +21,7 @@
     private val endpoints: List<Endpoint>,
     private val sink: EventSink = EventSink {},
 ) : PlatformClient {
-    private val caller = HttpCaller(group, MAXIMUM_RESPONSE_BYTES)
+    private val caller = HttpClient(group, MAXIMUM_RESPONSE_BYTES)
 
     // The endpoint that answered last is asked first.
     private val preferred = AtomicInteger()
--- a/runtime/src/test/kotlin/dev/hibiscusreach/runtime/backend/HttpServerControlTest.kt
+++ b/runtime/src/test/kotlin/dev/hibiscusreach/runtime/backend/HttpServerControlTest.kt
@@ -61,9 +61,9 @@
             }
         }
 
-    /** Guards against a probe that fails only because its kept connection was closed by the server. */
+    /** Guards against a probe that fails only because the server closed the idle connection. */
     @Test
-    fun `a call goes through after the server closed the kept connection`() =
+    fun `a call succeeds after the server closed the idle connection`() =
         ScriptedServer { _, _ -> response(200, confirmed) }.use { server ->
             withControl { control, sink ->
                 control.probe(server.endpoint)
@@ -74,7 +74,7 @@
             }
         }
 
-    /** Guards against calls without an end, and against connections that stay unresponsive for later calls. */
+    /** Guards against calls that never end, and against reuse of unresponsive connections. */
     @Test
     fun `a call that is never answered times out and its connection is not used again`() {
         var hangs = true
@@ -107,7 +107,7 @@
         }
     }
 
-    /** Guards against a refused connection that is taken for a slow one: it proves that nothing ran. */
+    /** Guards against a refused connection that is reported as a timeout: a refusal proves that nothing ran. */
     @Test
     fun `a refused connection is reported as such`() =
         withControl { control, sink ->
--- a/runtime/src/test/kotlin/dev/hibiscusreach/runtime/backend/HttpServerSessionsTest.kt
+++ b/runtime/src/test/kotlin/dev/hibiscusreach/runtime/backend/HttpServerSessionsTest.kt
@@ -72,9 +72,9 @@
         }
     }
 
-    /** Guards against failures that are mistaken for one another; they lead to different decisions. */
+    /** Guards against failures reported with the wrong cause, since the reducer decides by the cause. */
     @Test
-    fun `failures to open are told apart`() {
+    fun `failures to open report their cause`() {
         expectOpenFailure(ScriptedServer.closedEndpoint(), ConnectionFailure.REFUSED)
         ScriptedServer { _, _ -> response(503) }
             .use { expectOpenFailure(it.endpoint, ConnectionFailure.LIMIT_REACHED) }
@@ -82,9 +82,9 @@
         ScriptedServer { _, _ -> "" }.use { expectOpenFailure(it.endpoint, ConnectionFailure.TIMED_OUT) }
     }
 
-    /** Guards against commands that wait for ever, and against answers that are taken for success. */
+    /** Guards against commands that wait forever, and against invalid answers that count as success. */
     @Test
-    fun `a connection that breaks, hangs or answers nonsense is reported as closed once`() {
+    fun `a connection that breaks, hangs or sends an invalid answer is reported as closed once`() {
         for (faulty in listOf(null, "", response(200, "nonsense"), response(500))) {
             ScriptedServer { request, _ -> if ("GET" in request) response(200) else faulty }.use { server ->
                 open(server.endpoint) { sessions, sink ->
@@ -97,7 +97,7 @@
         }
     }
 
-    /** Guards against events about a connection that the reducer has forgotten. */
+    /** Guards against events about a connection that the reducer has closed. */
     @Test
     fun `no event follows after a connection is closed`() {
         ScriptedServer { request, _ -> response(200, if ("GET" in request) "" else answered) }.use { server ->
--- a/runtime/src/test/kotlin/dev/hibiscusreach/runtime/caller/CallerEndpointTest.kt
+++ b/runtime/src/test/kotlin/dev/hibiscusreach/runtime/caller/CallerEndpointTest.kt
@@ -48,7 +48,7 @@
         expectThat(response.body).contains("\"kind\":\"${kind.label}\"").contains("\"ran\":\"not run\"")
     }
 
-    /** Guards against answers that reach another request of the same connection. */
+    /** Guards against answers that are matched to another request of the same connection. */
     @Test
     fun `answers to pipelined requests keep the order of the requests`() = serve {
         caller().use { caller ->
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Guards against memory that grows with the requests that one caller sends ahead. */
+    /** Guards against memory that grows with the number of pipelined requests of one caller. */
     @Test
     fun `requests above the limit of a connection are read after the answers`() =
         serve(CallerLimits(maximumInFlight = 2)) {
@@ -77,7 +77,7 @@
 
     /** Guards against an interim response that a caller takes for the answer to an earlier request. */
     @Test
-    fun `a caller that waits before it sends a body is asked to go on`() = serve {
+    fun `a caller that expects 100-continue gets it unless an earlier answer is outstanding`() = serve {
         caller().use { caller ->
             val head = "POST $STATEMENTS HTTP/1.1\r\n$CALLER\r\nExpect: 100-continue\r\n"
             caller.write("${head}Content-Length: ${READ.length}\r\n\r\n")
@@ -118,7 +118,7 @@
         }
     }
 
-    /** Guards against many requests that together use more memory than one may. */
+    /** Guards against many small requests that together exceed the memory limit. */
     @Test
     fun `requests above the common buffer are refused and the buffer is returned`() =
         serve(CallerLimits(maximumBufferedBytes = READ.length + 10L)) {
@@ -154,7 +154,7 @@
         }
     }
 
-    /** Guards against a request that is cut off and then run. */
+    /** Guards against execution of a truncated request. */
     @Test
     fun `a request cut off by a half-close is refused and never arrives`() = serve {
         caller().use { caller ->
@@ -165,7 +165,7 @@
         }
     }
 
-    /** Guards against input that is not HTTP and against a caller that sees another caller's fault. */
+    /** Guards against events for invalid requests, and against a fault on one connection that affects another. */
     @Test
     fun `malformed requests are refused without an event`() = serve {
         val withCaller = arrayOf(CALLER)
@@ -236,7 +236,7 @@
         }
     }
 
-    /** Guards against connections that callers forget. */
+    /** Guards against idle connections that accumulate. */
     @Test
     fun `an idle connection is closed, one that waits for its answer is not`() =
         serve(CallerLimits(idleTimeout = 100.milliseconds)) {
@@ -250,7 +250,7 @@
             }
         }
 
-    /** Guards against work for callers that are gone. */
+    /** Guards against work for callers that have disconnected. */
     @Test
     fun `a caller that disconnects is reported`() = serve {
         val caller = caller()
@@ -261,7 +261,7 @@
         expectThat(endpoint.requestsInFlight).isEqualTo(0)
     }
 
-    /** Guards against requests that a graceful shutdown interrupts. */
+    /** Guards against a graceful shutdown that interrupts requests. */
     @Test
     fun `draining answers what is in flight and closes the connection`() = serve {
         val idle = caller()
--- a/runtime/src/test/kotlin/dev/hibiscusreach/runtime/caller/RawCaller.kt
+++ b/runtime/src/test/kotlin/dev/hibiscusreach/runtime/caller/RawCaller.kt
@@ -3,7 +3,7 @@
 import dev.hibiscusreach.core.model.Endpoint
 import java.net.Socket
 
-/** A caller that writes bytes as it likes. */
+/** A caller on a plain socket, which can send malformed and partial requests. */
 internal class RawCaller(endpoint: Endpoint) : AutoCloseable {
     class Response(val status: Int, val headers: Map<String, String>, val body: String)
 
@@ -19,16 +19,16 @@
 
     fun endOutput() = socket.shutdownOutput()
 
-    /** Everything that the proxy sends until it closes the connection. */
+    /** Reads until the proxy closes the connection. */
     fun readAll(): String = input.readAllBytes().decodeToString()
 
-    /** Breaks the connection off, as a process that dies does. */
+    /** Resets the TCP connection, as happens when a process dies. */
     fun reset() {
         socket.setSoLinger(true, 0)
         socket.close()
     }
 
-    /** Whether the proxy closes the connection with nothing more to read. */
+    /** Waits for the next byte or the end of the stream; true if the proxy closed the connection. */
     fun isClosed(): Boolean = input.read() < 0
 
     fun read(): Response {
--- a/runtime/src/test/kotlin/dev/hibiscusreach/runtime/caller/TokenSignerTest.kt
+++ b/runtime/src/test/kotlin/dev/hibiscusreach/runtime/caller/TokenSignerTest.kt
@@ -10,7 +10,7 @@
 import strikt.assertions.isEqualTo
 import strikt.assertions.isTrue
 
-/** Guards against tokens that callers made up or changed. */
+/** Guards against forged or modified session tokens. */
 class TokenSignerTest {
     private val signer = TokenSigner(ByteArray(32) { 1 })
     private val token = SessionToken(mapOf(DatabaseName("jobs") to Position(Term(3), index = 7)))
