--- a/daemon/src/main/kotlin/dev/hibiscusreach/daemon/PlatformOptions.kt
+++ b/daemon/src/main/kotlin/dev/hibiscusreach/daemon/PlatformOptions.kt
@@ -31,5 +31,5 @@
 /** Converts an option to an endpoint. */
 internal class EndpointConverter : ITypeConverter<Endpoint> {
     override fun convert(value: String): Endpoint =
-        EndpointText.parse(value) ?: throw TypeConversionException(EndpointText.FORM)
+        EndpointText.parse(value) ?: throw TypeConversionException(EndpointText.REQUIRED_FORMAT)
 }
--- a/daemon/src/main/kotlin/dev/hibiscusreach/daemon/RunCommand.kt
+++ b/daemon/src/main/kotlin/dev/hibiscusreach/daemon/RunCommand.kt
@@ -49,7 +49,7 @@
         stopRequested.await()
         log.info("draining")
         proxy.drain()
-        val request = settings.decisions.request
+        val request = settings.reducer.request
         val limit = request.leavingNotice + request.drainLimit + request.drainLimit
         val complete = proxy.awaitExit(limit.value)
         if (complete) log.info("drained") else log.error("not drained within {}; requests are interrupted", limit)
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/ProxyRuntime.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/ProxyRuntime.kt
@@ -56,9 +56,9 @@
         PeerLinkSettings(),
         metrics
     ) { loop.state.membership.selfUpdate() }
-    private val configurationClock = ConfigurationClock()
+    private val configurationAge = ConfigurationAge()
 
-    /** Where the process listens, with actual ports. */
+    /** The addresses at which the process listens, with actual ports. */
     lateinit var addresses: DumpedAddresses
         private set
 
@@ -98,7 +98,7 @@
     private fun start() {
         registerGauges()
         val adapters = Adapters(callers, sessions, control, platform, peers, ProxyTelemetry(metrics))
-        loop.start(adapters, listOf(metrics, callers, configurationClock))
+        loop.start(adapters, listOf(metrics, callers, configurationAge))
         peers.start()
     }
 
@@ -120,7 +120,7 @@
             addresses = addresses,
             drainPhase = state.drainPhase,
             ready = isReady,
-            configuration = StateReader.configuration(state, configurationClock.ageMillis()),
+            configuration = StateReader.configuration(state, configurationAge.millis()),
             members = StateReader.members(state),
             groups = StateReader.groups(state, clock.now()),
             connections = DumpedConnections(callers.connectionCount, sessions.connectionCount),
@@ -128,8 +128,8 @@
         )
     }
 
-    /** Remembers when the configuration in effect was adopted. */
-    private inner class ConfigurationClock : LoopListener {
+    /** Tracks when the configuration in effect was adopted. */
+    private inner class ConfigurationAge : LoopListener {
         @Volatile
         private var changedAt: MonotonicTime? = null
 
@@ -137,7 +137,7 @@
             changedAt = clock.now()
         }
 
-        fun ageMillis(): Long? = changedAt?.let { (clock.now() - it).value }
+        fun millis(): Long? = changedAt?.let { (clock.now() - it).value }
     }
 
     companion object {
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/adapter/AdapterFactory.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/adapter/AdapterFactory.kt
@@ -7,7 +7,7 @@
 import dev.hibiscusreach.runtime.platform.HttpPlatformClient
 import io.netty.channel.EventLoopGroup
 
-/** Makes the adapters to outside systems; another implementation speaks other protocols to them. */
+/** Creates the adapters to external systems; other implementations can use other protocols. */
 interface AdapterFactory {
     /** Session connections to backend servers. */
     fun sessions(group: EventLoopGroup, sink: EventSink): ServerSessions
@@ -19,7 +19,7 @@
     fun platform(group: EventLoopGroup, endpoints: List<Endpoint>, sink: EventSink): PlatformClient
 }
 
-/** Speaks HTTP/1.1 with JSON to backend servers and the platform. */
+/** Adapters that use HTTP/1.1 with JSON for backend servers and the platform. */
 object HttpAdapterFactory : AdapterFactory {
     override fun sessions(group: EventLoopGroup, sink: EventSink): ServerSessions = HttpServerSessions(group, sink)
 
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/adapter/Adapters.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/adapter/Adapters.kt
@@ -3,9 +3,9 @@
 import dev.hibiscusreach.core.event.ConnectionNumber
 import dev.hibiscusreach.core.event.Effect
 
-/** Delivers answers to callers, each whole and in the order of the requests of its connection. */
+/** Sends answers to callers, never interleaved and in request order per connection. */
 fun interface CallerAnswers {
-    /** Sends the answer; does nothing if the caller is gone. */
+    /** Sends the answer; does nothing if the caller has disconnected. */
     fun answer(effect: Effect.AnswerCaller)
 }
 
@@ -41,7 +41,7 @@
     /** Sends a message, or reports `PeerUnreachable`. */
     fun send(effect: Effect.SendPeerMessage)
 
-    /** Opens links to processes of unknown identity; `PeerIntroduced` follows for each that answers. */
+    /** Connects to seeds of unknown identity; `PeerIntroduced` follows for each that answers. */
     fun contact(effect: Effect.ContactSeeds)
 }
 
@@ -54,7 +54,7 @@
     fun count(effect: Effect.Count)
 }
 
-/** The adapters that carry out the reducer's effects. Each one can be replaced alone. */
+/** The adapters that execute the effects of the reducer. Each can be replaced on its own. */
 class Adapters(
     val callers: CallerAnswers,
     val sessions: ServerSessions,
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/loop/EffectHandler.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/loop/EffectHandler.kt
@@ -3,7 +3,7 @@
 import dev.hibiscusreach.core.event.Effect
 import dev.hibiscusreach.runtime.adapter.Adapters
 
-/** Hands each effect to the adapter that carries it out. */
+/** Dispatches each effect to the adapter that executes it. */
 internal class EffectHandler(
     private val timers: TimerService,
     private val clock: ProxyClock,
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/loop/EventLoop.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/loop/EventLoop.kt
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit
 import kotlin.concurrent.thread
 
-/** The one thread that owns the proxy's state: it feeds events to the reducer and hands effects to the adapters. */
+/** The single thread that owns the proxy state: passes events to the reducer and effects to the adapters. */
 class EventLoop(
     initial: ProxyState,
     private val clock: ProxyClock,
@@ -19,7 +19,7 @@
 ) : EventSink,
     AutoCloseable {
     private val log = LoggerFactory.getLogger(EventLoop::class.java)
-    private val guard = DefectGuard(log)
+    private val isolator = FailureIsolator(log)
     private val queue = LinkedBlockingQueue<Event>()
     private val timers = TimerService()
     private val exit = CountDownLatch(1)
@@ -35,12 +35,12 @@
         private set
 
     @Volatile
-    private var lastTurn = clock.now()
+    private var lastIterationAt = clock.now()
 
-    /** Whether the thread made a turn lately. */
-    val isAlive: Boolean get() = (clock.now() - lastTurn).value < STALLED_AFTER_MILLIS
+    /** Whether the thread started an iteration within the last [STALLED_AFTER_MILLIS]. */
+    val isAlive: Boolean get() = (clock.now() - lastIterationAt).value < STALLED_AFTER_MILLIS
 
-    /** Events that wait for the reducer. */
+    /** Number of queued events. */
     val queueLength: Int get() = queue.size
 
     override val isCongested: Boolean get() = queue.size > CONGESTED_LENGTH
@@ -69,7 +69,7 @@
         reduce(Event.Started, effects)
         while (running) {
             try {
-                lastTurn = clock.now()
+                lastIterationAt = clock.now()
                 fireTimers(effects)
                 next()?.let { reduce(it, effects) }
             } catch (interruption: InterruptedException) {
@@ -93,12 +93,12 @@
 
     private fun reduce(event: Event, effects: EffectHandler) {
         val startedAt = System.nanoTime()
-        guard.handle(event) {
+        isolator.handle(event) {
             val timed = TimedEvent(clock.now(), clock.wallClockMillis(), clock.random(), it)
             val transition = reducer.reduce(state, timed)
             val before = state
             state = transition.state
-            transition.effects.forEach { effect -> guard.carryOut(effect, effects::handle) }
+            transition.effects.forEach { effect -> isolator.carryOut(effect, effects::handle) }
             notifyListeners(before, transition.state)
         }
         listeners.forEach { it.reduced(event, System.nanoTime() - startedAt) }
@@ -117,7 +117,7 @@
         const val CONGESTED_LENGTH = 10_000
         const val CLOSE_TIMEOUT_MILLIS = 2_000L
 
-        /** Several times the longest wait of a turn, so that a short pause of the process does not count. */
+        /** Several times the longest wait of an iteration, so that a short pause of the process is no stall. */
         const val STALLED_AFTER_MILLIS = 10_000L
     }
 }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/loop/EventSink.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/loop/EventSink.kt
@@ -2,11 +2,11 @@
 
 import dev.hibiscusreach.core.event.Event
 
-/** Takes events for the reducer, from any thread, without blocking. */
+/** Accepts events for the reducer from any thread without blocking. */
 fun interface EventSink {
     /** Queues [event]. */
     fun submit(event: Event)
 
-    /** Whether so many events wait that sources which can wait should do so. */
+    /** Whether the queue is so long that sources able to pause should do so (backpressure). */
     val isCongested: Boolean get() = false
 }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/loop/DefectGuard.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/loop/FailureIsolator.kt
@@ -2,15 +2,15 @@
 
 import org.slf4j.Logger
 
-/** Confines defects of an event loop: one that an event triggers must not take the other callers' work down with it. */
-class DefectGuard(private val log: Logger) {
+/** Isolates failures in an event loop: an exception for one event or effect must not fail the work of other callers. */
+class FailureIsolator(private val log: Logger) {
     /** The result of [action] for [event]; null, with a log line, if it failed. */
     fun <E : Any, R : Any> handle(event: E, action: (E) -> R): R? =
-        attempt("event could not be handled: {}", event, action)
+        attempt("handling an event failed: {}", event, action)
 
-    /** Carries [effect] out; a failure is logged and affects no other effect. */
+    /** Executes [effect]; a failure is logged and affects no other effect. */
     fun <E : Any> carryOut(effect: E, action: (E) -> Unit) {
-        attempt("effect could not be carried out: {}", effect, action)
+        attempt("executing an effect failed: {}", effect, action)
     }
 
     @Suppress("TooGenericExceptionCaught")
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/loop/LoopListener.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/loop/LoopListener.kt
@@ -3,7 +3,7 @@
 import dev.hibiscusreach.core.event.DrainPhase
 import dev.hibiscusreach.core.event.Event
 
-/** Told of what the event loop does; called on its thread, so it must not block. */
+/** Observes the event loop. Called on its thread, so implementations must not block. */
 interface LoopListener {
     /** [event] was reduced in [nanos]. */
     fun reduced(event: Event, nanos: Long) = Unit
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/loop/ProxyClock.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/loop/ProxyClock.kt
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit
 import kotlin.random.Random
 
-/** The source of everything that differs between two runs with the same events. */
+/** The sources of nondeterminism: time and randomness. Replacing them makes a run repeatable. */
 interface ProxyClock {
     /** Monotonic time since the process started. */
     fun now(): MonotonicTime
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/loop/TimerService.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/loop/TimerService.kt
@@ -19,7 +19,7 @@
     /** Queued entries, stale ones included. */
     internal val queueSize: Int get() = queue.size
 
-    /** Subscribes [key] to the time [delay] after [now], in place of its earlier subscription. */
+    /** Starts the timer [key], due [delay] after [now]; replaces a running timer of the same key. */
     fun start(key: TimerKey, delay: Millis, now: MonotonicTime) {
         val timer = Timer(key, now + delay, started++)
         timers[key] = timer
@@ -27,7 +27,7 @@
         removeStale()
     }
 
-    /** Ends the subscription of [key], if there is one. */
+    /** Cancels the timer [key] if it is running. */
     fun cancel(key: TimerKey) {
         timers.remove(key)
         removeStale()
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/operations/OperationsEndpoint.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/operations/OperationsEndpoint.kt
@@ -23,9 +23,9 @@
 import org.slf4j.LoggerFactory
 import java.util.concurrent.TimeUnit
 
-/** What the operations endpoint shows. */
+/** Data that the operations endpoint serves. */
 interface OperationsView {
-    /** Whether the process works. */
+    /** Whether the event loop makes progress. */
     val isLive: Boolean
 
     /** Whether the load balancer should send requests here. */
@@ -68,7 +68,7 @@
             "/ready" -> condition(view.isReady, "ready", "not ready")
             "/metrics" -> Page(HttpResponseStatus.OK, "text/plain; version=0.0.4; charset=utf-8", view.metrics())
             "/state" -> Page(HttpResponseStatus.OK, HttpHeaderValues.APPLICATION_JSON.toString(), view.state())
-            else -> text(HttpResponseStatus.NOT_FOUND, "no such page; there are /live, /ready, /metrics and /state")
+            else -> text(HttpResponseStatus.NOT_FOUND, "not found; paths are /live, /ready, /metrics and /state")
         }
 
     private fun condition(holds: Boolean, yes: String, no: String): Page =
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/operations/StateDump.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/operations/StateDump.kt
@@ -11,7 +11,7 @@
 import dev.hibiscusreach.core.model.Term
 import kotlinx.serialization.Serializable
 
-/** What a proxy knows, for operators and tests. */
+/** Snapshot of the state of a proxy, for operators and tests. */
 @Serializable
 data class StateDump(
     val node: NodeIdentity,
@@ -86,6 +86,6 @@
     val inFlight: Int,
     val waitingEvents: Int,
     val openTransactions: Int,
-    /** Requests that this process works on, those that peers forwarded to it included. */
+    /** Requests that this process executes, those that peers forwarded to it included. */
     val byPhase: Map<String, Int>,
 )
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/peer/Handshake.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/peer/Handshake.kt
@@ -5,9 +5,9 @@
 import org.slf4j.LoggerFactory
 import java.io.IOException
 
-/** The exchange of the first frames of a link. */
+/** Exchanges the first frames of a link, in which both sides state their version and identity. */
 internal class Handshake(private val settings: PeerLinkSettings, private val self: () -> PeerUpdate) {
-    /** A link whose other side is known. */
+    /** The result of a successful handshake. */
     class Completed(val socket: FrameSocket, val remote: PeerUpdate)
 
     /** Connects and introduces both sides to each other; null if that fails. */
@@ -16,10 +16,10 @@
             try {
                 withTimeoutOrNull(settings.connectTimeout.value) { connect() }
             } catch (failure: IOException) {
-                log.debug("peer cannot be reached", failure)
+                log.debug("connecting to a peer failed", failure)
                 null
             } catch (failure: IllegalArgumentException) {
-                log.warn("peer address is not valid", failure)
+                log.warn("invalid peer address", failure)
                 null
             }
         return socket?.let { accept(it) }
@@ -31,13 +31,13 @@
             try {
                 withTimeoutOrNull(settings.handshakeTimeout.value) { exchange(socket) }
             } catch (failure: IOException) {
-                log.debug("handshake failed", failure)
+                log.debug("peer handshake failed", failure)
                 null
-            } catch (failure: UnreadableFrameException) {
-                log.warn("link of {} refused: {}", socket.remoteAddress, failure.message)
+            } catch (failure: MalformedFrameException) {
+                log.warn("link from {} rejected: {}", socket.remoteAddress, failure.message)
                 null
-            } catch (failure: OtherVersionException) {
-                log.warn("link of {} refused: {}", socket.remoteAddress, failure.message)
+            } catch (failure: ProtocolVersionMismatchException) {
+                log.warn("link from {} rejected: {}", socket.remoteAddress, failure.message)
                 null
             }
         if (remote == null) socket.close()
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/peer/KtorPeerLinks.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/peer/KtorPeerLinks.kt
@@ -33,16 +33,16 @@
     private val scope = CoroutineScope(SupervisorJob() + executor.asCoroutineDispatcher() + failures)
     private val handshake = Handshake(settings, self)
     private val links = LinkTable(settings, sink, traffic)
-    private val dials = HashMap<Endpoint, Dial>()
+    private val pendingLinks = HashMap<Endpoint, PendingLink>()
     private var accepted = 0
 
     /** A link that is being opened, with the messages that wait for it. */
-    private class Dial {
+    private class PendingLink {
         val waiting = mutableListOf<Pair<NodeIdentity, List<ByteArray>>>()
         var waitingBytes = 0
     }
 
-    /** Starts to accept links and to check the open ones. */
+    /** Starts accepting links and checking the open ones. */
     fun start() {
         scope.launch { acceptLinks() }
         scope.launch {
@@ -61,16 +61,16 @@
         scope.launch {
             for (endpoint in effect.endpoints.filter { it != listener.endpoint }) {
                 val known = links.at(endpoint)
-                if (known == null) dial(endpoint) else sink.submit(Event.PeerIntroduced(known.remote))
+                if (known == null) openLink(endpoint) else sink.submit(Event.PeerIntroduced(known.remote))
             }
         }
     }
 
-    /** Sends what is queued, as far as that is possible in a short time, and closes all links. */
+    /** Closes all links; sends what is queued, but waits no longer than the handshake timeout. */
     override fun close() {
         runBlocking {
             withTimeoutOrNull(settings.handshakeTimeout.value) {
-                scope.launch { links.leaveAll() }.join()
+                scope.launch { links.closeAllGracefully() }.join()
             }
         }
         scope.cancel()
@@ -84,32 +84,32 @@
         when {
             frames.sumOf { it.size } > LinkCodec.MAXIMUM_MESSAGE_BYTES ->
                 log.error("{} of {} frames is too large for {}", message::class.simpleName, frames.size, to)
-            link != null -> if (!link.offer(frames)) link.close("too many bytes wait to be sent")
+            link != null -> if (!link.offer(frames)) link.close("send queue is full")
             else -> enqueue(to, frames)
         }
     }
 
     private fun enqueue(to: NodeIdentity, frames: List<ByteArray>) {
-        val dial = dial(to.peerEndpoint)
+        val pending = openLink(to.peerEndpoint)
         val size = frames.sumOf { it.size }
-        if (dial.waitingBytes + size <= settings.maximumQueuedBytes) {
-            dial.waiting += to to frames
-            dial.waitingBytes += size
+        if (pending.waitingBytes + size <= settings.maximumQueuedBytes) {
+            pending.waiting += to to frames
+            pending.waitingBytes += size
         } else {
             sink.submit(Event.PeerUnreachable(to))
         }
     }
 
-    private fun dial(endpoint: Endpoint): Dial =
-        dials.getOrPut(endpoint) {
-            Dial().also { scope.launch { open(endpoint, it) } }
+    private fun openLink(endpoint: Endpoint): PendingLink =
+        pendingLinks.getOrPut(endpoint) {
+            PendingLink().also { scope.launch { open(endpoint, it) } }
         }
 
-    private suspend fun open(endpoint: Endpoint, dial: Dial) {
+    private suspend fun open(endpoint: Endpoint, pending: PendingLink) {
         val link = handshake.open { listener.connect(endpoint) }?.let(links::register)
-        dials.remove(endpoint)
-        val (reached, missed) = dial.waiting.partition { (node, _) -> node == link?.remote?.node }
-        missed.map { it.first }.distinct().forEach { sink.submit(Event.PeerUnreachable(it)) }
+        pendingLinks.remove(endpoint)
+        val (reached, unreachable) = pending.waiting.partition { (node, _) -> node == link?.remote?.node }
+        unreachable.map { it.first }.distinct().forEach { sink.submit(Event.PeerUnreachable(it)) }
         reached.forEach { (_, frames) -> link?.offer(frames) }
         link?.start(scope)
     }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/peer/LinkCodec.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/peer/LinkCodec.kt
@@ -6,12 +6,12 @@
 import kotlinx.serialization.cbor.Cbor
 import kotlinx.serialization.modules.SerializersModule
 
-/** Bytes of a frame that cannot be read. */
-internal class UnreadableFrameException(cause: Throwable) : Exception("unreadable frame: ${cause.message}", cause)
+/** The bytes of a frame cannot be decoded. */
+internal class MalformedFrameException(cause: Throwable) : Exception("malformed frame: ${cause.message}", cause)
 
-/** The first frame of a link shows another protocol version. */
-internal class OtherVersionException(val version: Int) :
-    Exception("peer has protocol version $version, this process has ${LinkCodec.PROTOCOL_VERSION}")
+/** The first frame of a link has an unsupported protocol version. */
+internal class ProtocolVersionMismatchException(val version: Int) :
+    Exception("peer uses protocol version $version, this process uses ${LinkCodec.PROTOCOL_VERSION}")
 
 /** CBOR encoding of the frames between proxies. */
 @OptIn(ExperimentalSerializationApi::class)
@@ -19,7 +19,7 @@
     const val PROTOCOL_VERSION = 1
     const val MAXIMUM_FRAME_BYTES = 1024 * 1024
 
-    /** Bytes of a message in all its frames. */
+    /** Maximum size of a message over all its frames. */
     const val MAXIMUM_MESSAGE_BYTES = 4 * 1024 * 1024
     private const val PART_BYTES = 512 * 1024
 
@@ -47,7 +47,7 @@
 
     fun decodeHello(bytes: ByteArray): Hello {
         val version = decode(HelloVersion.serializer(), bytes).protocolVersion
-        if (version != PROTOCOL_VERSION) throw OtherVersionException(version)
+        if (version != PROTOCOL_VERSION) throw ProtocolVersionMismatchException(version)
         return decode(Hello.serializer(), bytes)
     }
 
@@ -63,6 +63,6 @@
         try {
             cbor.decodeFromByteArray(deserializer, bytes)
         } catch (failure: RuntimeException) {
-            throw UnreadableFrameException(failure)
+            throw MalformedFrameException(failure)
         }
 }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/peer/LinkTable.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/peer/LinkTable.kt
@@ -31,14 +31,14 @@
         return link
     }
 
-    /** Checks all links for silence. */
+    /** Checks all links for peers that stopped answering and for idle time. */
     fun check() {
         val now = System.nanoTime()
         open.toList().forEach { it.check(now) }
     }
 
-    /** Closes all links in agreement with the other side and waits until everything is sent. */
-    suspend fun leaveAll() = open.toList().onEach(PeerLink::leave).forEach { it.awaitSent() }
+    /** Closes all links gracefully and waits until everything queued is sent. */
+    suspend fun closeAllGracefully() = open.toList().onEach(PeerLink::closeGracefully).forEach { it.awaitSent() }
 
     override suspend fun received(link: PeerLink, frame: LinkFrame.Message, bytes: Int) {
         while (sink.isCongested) delay(CONGESTION_PAUSE_MILLIS)
@@ -48,7 +48,7 @@
 
     override fun sent(link: PeerLink, bytes: Int) = traffic.sent(link.remote.failureDomain.value, bytes)
 
-    override fun leaving(link: PeerLink) {
+    override fun closing(link: PeerLink) {
         links.remove(link.remote.node, link)
     }
 
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/peer/PeerLink.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/peer/PeerLink.kt
@@ -7,14 +7,14 @@
 import kotlinx.coroutines.launch
 import java.io.IOException
 
-/** An established link to one process. Used on the links' thread. */
+/** An established link to one process. Not thread-safe; runs on the thread of the peer links. */
 internal class PeerLink(
     private val socket: FrameSocket,
     val remote: PeerUpdate,
     private val settings: PeerLinkSettings,
     private val listener: Listener,
 ) {
-    /** Told of what happens on the link. */
+    /** Receives the events of the link. */
     interface Listener {
         /** A frame other than those of the link itself arrived. */
         suspend fun received(link: PeerLink, frame: LinkFrame.Message, bytes: Int)
@@ -22,38 +22,38 @@
         /** A frame was sent. */
         fun sent(link: PeerLink, bytes: Int)
 
-        /** The other side closes the link; nothing must be queued any more. */
-        fun leaving(link: PeerLink)
+        /** The link is being closed gracefully; nothing more may be queued. */
+        fun closing(link: PeerLink)
 
         /** The link is closed for [reason]. */
         fun closed(link: PeerLink, reason: String)
     }
 
     private val queue = Channel<ByteArray>(Channel.UNLIMITED)
-    private val joiner = PartJoiner()
+    private val reassembler = PartReassembler()
     private var queuedBytes = 0
     private var writer: Job? = null
     private var reader: Job? = null
-    private var agreed = false
+    private var closingGracefully = false
     private var closeReason = "closed by the peer"
     private var silentSince: Long? = null
     private var lastMessageAt = System.nanoTime()
 
     /** Starts to send and receive; the job ends with the link. */
     fun start(scope: CoroutineScope): Job {
-        writer = scope.launch { guarded(::writeFrames) }
+        writer = scope.launch { closingOnFailure(::writeFrames) }
         return scope.launch {
-            val reading = launch { guarded(::readFrames) }
+            val reading = launch { closingOnFailure(::readFrames) }
             reader = reading
             reading.join()
             queue.close()
-            if (agreed) writer?.join() else writer?.cancel()
+            if (closingGracefully) writer?.join() else writer?.cancel()
             socket.close()
             listener.closed(this@PeerLink, closeReason)
         }
     }
 
-    /** Queues [frames], all or none; false if too much waits already. */
+    /** Queues [frames], all or none; false if the queue is full or the link is closing. */
     fun offer(frames: List<ByteArray>): Boolean {
         val size = frames.sumOf { it.size }
         val fits = queuedBytes == 0 || queuedBytes + size <= settings.maximumQueuedBytes
@@ -62,28 +62,28 @@
             lastMessageAt = System.nanoTime()
             if (silentSince == null) silentSince = lastMessageAt
         }
-        return fits && !agreed
+        return fits && !closingGracefully
     }
 
-    /** Sends a heartbeat on a silent link; closes a broken or unused one. */
+    /** Sends a heartbeat if the peer has not answered; closes a link that is broken or idle. */
     fun check(now: Long) {
         val silence = silentSince?.let { (now - it) / NANOS_PER_MILLI }
         when {
-            silence != null && silence > settings.silenceLimit.value -> close("the link went silent")
+            silence != null && silence > settings.silenceLimit.value -> close("no answer from the peer")
             silence != null && silence > settings.checkPeriod.value -> queue.trySend(heartbeat)
-            (now - lastMessageAt) / NANOS_PER_MILLI > settings.idleLimit.value -> leave()
+            (now - lastMessageAt) / NANOS_PER_MILLI > settings.idleLimit.value -> closeGracefully()
         }
     }
 
-    /** Sends what is queued, then closes the link in agreement with the other side. */
-    fun leave() {
-        if (!agreed) {
-            agreed = true
+    /** Sends what is queued and a goodbye frame; the link closes once the other side has closed it. */
+    fun closeGracefully() {
+        if (!closingGracefully) {
+            closingGracefully = true
             queue.trySend(goodbye)
             queue.close()
-            // The other side gets the usual time to close the link.
+            // Starts the silence limit, within which the other side must close the link.
             silentSince = System.nanoTime()
-            listener.leaving(this)
+            listener.closing(this)
         }
     }
 
@@ -112,7 +112,7 @@
         while (true) {
             val bytes = socket.read()
             silentSince = null
-            when (val frame = joiner.join(LinkCodec.decode(bytes))) {
+            when (val frame = reassembler.add(LinkCodec.decode(bytes))) {
                 is LinkFrame.Message -> {
                     lastMessageAt = System.nanoTime()
                     listener.received(this, frame, bytes.size)
@@ -122,16 +122,16 @@
                 is LinkFrame.Part, LinkFrame.HeartbeatAnswer, LinkFrame.Unknown -> Unit
             }
         }
-        agreed = true
-        listener.leaving(this)
+        closingGracefully = true
+        listener.closing(this)
     }
 
-    private suspend fun guarded(action: suspend () -> Unit) =
+    private suspend fun closingOnFailure(action: suspend () -> Unit) =
         try {
             action()
         } catch (failure: IOException) {
             close(failure.toString())
-        } catch (failure: UnreadableFrameException) {
+        } catch (failure: MalformedFrameException) {
             close(failure.message.orEmpty())
         }
 
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/peer/PeerLinkSettings.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/peer/PeerLinkSettings.kt
@@ -7,13 +7,13 @@
 data class PeerLinkSettings(
     val connectTimeout: Millis = 2.seconds,
     val handshakeTimeout: Millis = 2.seconds,
-    /** Bytes that wait to be sent on one link; a link with more is taken for broken. */
+    /** Maximum number of bytes queued for sending on one link; a link with more counts as broken. */
     val maximumQueuedBytes: Int = MAXIMUM_QUEUED_BYTES,
-    /** Links that were accepted from other processes. */
+    /** Maximum number of links accepted from other processes at a time. */
     val maximumAcceptedLinks: Int = 4_096,
     /** How often links are checked. */
     val checkPeriod: Millis = 1.seconds,
-    /** A link that stays silent this long after something was sent is taken for broken. */
+    /** A link on which nothing arrives for this long after something was sent counts as broken. */
     val silenceLimit: Millis = 4.seconds,
     /** A link without messages is closed after this time. */
     val idleLimit: Millis = 60.seconds,
@@ -23,7 +23,7 @@
     }
 }
 
-/** Told of the bytes that links carry. */
+/** Receives the number of bytes that links send and receive. */
 interface PeerTraffic {
     /** A frame of [bytes] was sent to a process in [domain]. */
     fun sent(domain: String, bytes: Int) = Unit
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/peer/PeerListener.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/peer/PeerListener.kt
@@ -12,7 +12,7 @@
 import java.io.IOException
 import java.util.concurrent.Executors
 
-/** The socket at which other proxies open links. Bound before the node's identity is known, which has its port. */
+/** The socket at which other proxies open links. Bound first, since the node identity contains its port. */
 class PeerListener private constructor(
     address: String,
     private val selector: SelectorManager,
@@ -26,7 +26,7 @@
         try {
             FrameSocket(socket.accept())
         } catch (failure: IOException) {
-            log.warn("no link can be accepted now: {}", failure.toString())
+            log.warn("accepting a peer link failed: {}", failure.toString())
             null
         }
 
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/platform/HttpPlatformClient.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/platform/HttpPlatformClient.kt
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit
 import java.util.concurrent.atomic.AtomicInteger
 
-/** Calls to the platform over HTTP/1.1 with JSON. Several endpoints of the platform are tried in turn. */
+/** Calls to the platform over HTTP/1.1 with JSON. If an endpoint fails, the next one is tried. */
 class HttpPlatformClient(
     group: EventLoopGroup,
     private val endpoints: List<Endpoint>,
@@ -43,18 +43,18 @@
     ) {
         private val startedAt = System.nanoTime()
         private val first = preferred.get()
-        private var made = 0
+        private var attemptCount = 0
 
         fun next(previous: PlatformAnswer.Failed) {
             val remaining = timeout.value - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt)
-            if (made < endpoints.size && remaining > 0) attempt(remaining) else done(previous)
+            if (attemptCount < endpoints.size && remaining > 0) attempt(remaining) else done(previous)
         }
 
         private fun attempt(remaining: Long) {
-            val index = (first + made) % endpoints.size
-            made++
-            // Each endpoint gets its part of the time, so that one that never answers leaves time for the next.
-            val limit = if (request is PlatformCall.Watch) remaining else remaining / (endpoints.size - made + 1)
+            val index = (first + attemptCount) % endpoints.size
+            attemptCount++
+            // Splits the remaining time among the endpoints, so that one that never answers leaves time for the next.
+            val limit = if (request is PlatformCall.Watch) remaining else remaining / (endpoints.size - attemptCount + 1)
             val call = PlatformWire.httpCall(request, endpoints[index], Millis(maxOf(1, limit)))
             caller.call(call) { answered(index, it) }
         }
@@ -63,7 +63,7 @@
             val answer = PlatformWire.answer(request, outcome)
             if (answer is PlatformAnswer.Failed) {
                 preferred.compareAndSet(first, (first + 1) % endpoints.size)
-                if (mayTryAgain(outcome)) next(answer) else done(answer)
+                if (isRetryable(outcome)) next(answer) else done(answer)
             } else {
                 preferred.set(index)
                 done(answer)
@@ -72,7 +72,7 @@
 
         // A put that may have taken effect must not be sent again: its second run would fail with a version conflict
         // that the first one caused. A call over the rate limit must not cause more calls.
-        private fun mayTryAgain(outcome: HttpOutcome): Boolean =
+        private fun isRetryable(outcome: HttpOutcome): Boolean =
             when (outcome) {
                 is HttpOutcome.Answered ->
                     outcome.status == PlatformWire.STATUS_UNAVAILABLE && request !is PlatformCall.Put
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/settings/DaemonSettings.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/settings/DaemonSettings.kt
@@ -10,7 +10,7 @@
 import dev.hibiscusreach.core.reducer.RequestSettings
 import dev.hibiscusreach.runtime.caller.CallerLimits
 
-/** Form of log lines. */
+/** Format of log lines. */
 enum class LogFormat { TEXT, JSON }
 
 /** Least severe level of log lines that are written. */
@@ -24,22 +24,22 @@
     val tokenKey: TokenKey,
     val log: LogSettings = LogSettings(),
     val callerLimits: CallerLimits = CallerLimits(),
-    val decisions: DecisionSettings = DecisionSettings(),
+    val reducer: ReducerSettings = ReducerSettings(),
 ) {
-    /** What the reducer of the process called [self] needs to know. */
+    /** The settings for the reducer of the process with identity [self]. */
     fun proxySettings(self: NodeIdentity): ProxySettings =
         ProxySettings(
             self = self,
             failureDomain = failureDomain,
             seeds = addresses.seeds,
-            membership = decisions.membership,
-            group = decisions.group,
-            pool = decisions.pool,
-            request = decisions.request,
+            membership = reducer.membership,
+            group = reducer.group,
+            pool = reducer.pool,
+            request = reducer.request,
         )
 }
 
-/** Where the process listens and whom it contacts. */
+/** Addresses to listen at and to connect to. */
 data class AddressSettings(
     val caller: Endpoint,
     val operations: Endpoint,
@@ -49,11 +49,11 @@
     val seeds: List<Endpoint> = emptyList(),
 )
 
-/** Form and amount of the log. */
+/** Format and threshold of the log. */
 data class LogSettings(val format: LogFormat = LogFormat.TEXT, val threshold: LogThreshold = LogThreshold.INFO)
 
-/** Timing and limits of the reducer's parts. */
-data class DecisionSettings(
+/** Timeouts, periods and limits of the reducer parts. */
+data class ReducerSettings(
     val membership: MembershipSettings = MembershipSettings(),
     val group: GroupSettings = GroupSettings(),
     val pool: PoolSettings = PoolSettings(),
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/settings/EndpointText.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/settings/EndpointText.kt
@@ -5,8 +5,8 @@
 
 /** Endpoints as text: `10.1.2.3:8080` or `[2001:db8::1]:8080`. */
 object EndpointText {
-    /** What an endpoint must look like, for messages. */
-    const val FORM: String = "must be an IP address and a port from 0 to 65535, such as 10.1.2.3:8080"
+    /** The required format, as the text of an error message. */
+    const val REQUIRED_FORMAT: String = "must be an IP address and a port from 0 to 65535, such as 10.1.2.3:8080"
     private const val MAXIMUM_PORT = 65_535
 
     /** The endpoint that [text] holds, or null. */
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/settings/JsonLines.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/settings/JsonLineIndex.kt
@@ -1,7 +1,7 @@
 package dev.hibiscusreach.runtime.settings
 
-/** Finds the lines of the values of a JSON text with comments, for messages about them. */
-class JsonLines(private val text: String) {
+/** Maps the paths of the values in a JSON text with comments to line numbers, for error messages. */
+class JsonLineIndex(private val text: String) {
     private val lines = HashMap<String, Int>()
     private val scanner = JsonScanner(text)
 
@@ -22,26 +22,26 @@
         if (path.isEmpty()) null else path.substring(0, maxOf(0, path.lastIndexOfAny(charArrayOf('.', '['))))
 
     private fun value(path: String, depth: Int) {
-        scanner.skip()
+        scanner.skipTrivia()
         lines.putIfAbsent(path, scanner.line)
         when {
-            depth > MAXIMUM_DEPTH -> scanner.stop()
+            depth > MAXIMUM_DEPTH -> scanner.moveToEnd()
             scanner.at('{') -> objectValue(path, depth)
             scanner.at('[') -> arrayValue(path, depth)
-            scanner.at('"') -> scanner.string()
-            else -> scanner.scalar()
+            scanner.at('"') -> scanner.readString()
+            else -> scanner.skipScalar()
         }
     }
 
     private fun objectValue(path: String, depth: Int) {
         scanner.advance()
-        scanner.skip()
+        scanner.skipTrivia()
         while (scanner.at('"')) {
             val keyLine = scanner.line
-            val name = scanner.string()
+            val name = scanner.readString()
             val valuePath = if (path.isEmpty()) name else "$path.$name"
             lines.putIfAbsent(valuePath, keyLine)
-            scanner.skip()
+            scanner.skipTrivia()
             scanner.accept(':')
             value(valuePath, depth + 1)
             separator()
@@ -51,7 +51,7 @@
 
     private fun arrayValue(path: String, depth: Int) {
         scanner.advance()
-        scanner.skip()
+        scanner.skipTrivia()
         var index = 0
         while (!scanner.isAtEnd && !scanner.at(']') && !scanner.at('}')) {
             value("$path[${index++}]", depth + 1)
@@ -61,13 +61,13 @@
     }
 
     private fun separator() {
-        scanner.skip()
+        scanner.skipTrivia()
         scanner.accept(',')
-        scanner.skip()
+        scanner.skipTrivia()
     }
 
     private companion object {
-        /** Deeper than any file of the product; bounds the recursion. */
+        /** Bounds the recursion; no settings or inventory file is nested this deep. */
         const val MAXIMUM_DEPTH = 64
     }
 }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/settings/JsonScanner.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/settings/JsonScanner.kt
@@ -1,6 +1,6 @@
 package dev.hibiscusreach.runtime.settings
 
-/** Walks through a JSON text with comments and counts its lines. */
+/** A scanner for JSON with comments that tracks the line number. */
 internal class JsonScanner(private val text: String) {
     private var offset = 0
 
@@ -13,24 +13,24 @@
     /** Whether the current character is [character]. */
     fun at(character: Char): Boolean = !isAtEnd && text[offset] == character
 
-    /** Steps over the current character. */
+    /** Advances past the current character. */
     fun advance() {
         if (at('\n')) line++
         offset++
     }
 
-    /** Steps over [character] if it is the current one. */
+    /** Advances past [character] if it is the current one. */
     fun accept(character: Char) {
         if (at(character)) advance()
     }
 
-    /** Goes to the end of the text. */
-    fun stop() {
+    /** Moves to the end of the text. */
+    fun moveToEnd() {
         offset = text.length
     }
 
-    /** Steps over a text in quotes and returns its content as written. */
-    fun string(): String {
+    /** Reads a quoted string and returns its content without resolving escapes. */
+    fun readString(): String {
         advance()
         val start = offset
         while (!isAtEnd && !at('"')) {
@@ -40,13 +40,13 @@
         return text.substring(minOf(start, text.length), minOf(offset, text.length)).also { accept('"') }
     }
 
-    /** Steps over a number or a word. */
-    fun scalar() {
+    /** Skips a number, boolean or null. */
+    fun skipScalar() {
         while (!isAtEnd && text[offset] !in SCALAR_END) advance()
     }
 
-    /** Steps over white space and comments. */
-    fun skip() {
+    /** Skips white space and comments. */
+    fun skipTrivia() {
         while (!isAtEnd) {
             when {
                 text[offset].isWhitespace() -> advance()
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/settings/DecisionSettingsReader.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/settings/ReducerSettingsReader.kt
@@ -6,15 +6,15 @@
 import dev.hibiscusreach.core.reducer.RequestSettings
 
 /** Reads the timing and limits of the reducer's parts. */
-internal object DecisionSettingsReader {
+internal object ReducerSettingsReader {
     private const val LARGE_COUNT = 1_000_000
     private const val MAXIMUM_PERCENT = 100
     private const val MAXIMUM_ATTEMPTS = 10
     private val counts = 1..LARGE_COUNT
     private val attempts = 1..MAXIMUM_ATTEMPTS
 
-    fun read(reader: SectionReader): DecisionSettings {
-        var settings = DecisionSettings()
+    fun read(reader: SectionReader): ReducerSettings {
+        var settings = ReducerSettings()
         reader.section("membership") { settings = settings.copy(membership = membership(it, MembershipSettings())) }
         reader.section("group") { settings = settings.copy(group = group(it, GroupSettings())) }
         reader.section("pool") { settings = settings.copy(pool = pool(it, PoolSettings())) }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/settings/SectionReader.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/settings/SectionReader.kt
@@ -5,7 +5,7 @@
 import kotlinx.serialization.json.JsonPrimitive
 import kotlinx.serialization.json.longOrNull
 
-/** Takes the faults of a file; [report] gets the name of the setting and what is wrong. */
+/** Collects the faults of a file; [report] takes the name of the setting and a description of the fault. */
 internal fun interface FaultCollector {
     fun report(name: String, message: String)
 }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/settings/SettingsFault.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/settings/SettingsFault.kt
@@ -1,9 +1,9 @@
 package dev.hibiscusreach.runtime.settings
 
-/** One thing that is wrong in a file. */
+/** An error in a file, with its line if that is known. */
 data class SettingsFault(val line: Int?, val name: String, val message: String) {
     override fun toString(): String {
-        val place = listOfNotNull(line?.let { "line $it" }, name.ifEmpty { null }).joinToString()
-        return if (place.isEmpty()) message else "$place: $message"
+        val location = listOfNotNull(line?.let { "line $it" }, name.ifEmpty { null }).joinToString()
+        return if (location.isEmpty()) message else "$location: $message"
     }
 }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/settings/SettingsFile.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/settings/SettingsFile.kt
@@ -25,12 +25,12 @@
 
     private fun check(text: String, root: JsonElement) =
         if (root is JsonObject) {
-            read(root, JsonLines(text))
+            read(root, JsonLineIndex(text))
         } else {
             Err(listOf(SettingsFault(line = 1, name = "", message = "the file must hold one section in braces")))
         }
 
-    private fun read(root: JsonObject, lines: JsonLines): Result<DaemonSettings, List<SettingsFault>> {
+    private fun read(root: JsonObject, lines: JsonLineIndex): Result<DaemonSettings, List<SettingsFault>> {
         val faults = mutableListOf<SettingsFault>()
         val reader = SectionReader(root, path = "") { name, message ->
             faults += SettingsFault(lines.lineOf(name).takeIf { message != "is missing" }, name, message)
@@ -47,7 +47,7 @@
             tokenKey = tokenKey(reader),
             log = log(reader),
             callerLimits = CallerLimitsReader.read(reader),
-            decisions = DecisionSettingsReader.read(reader),
+            reducer = ReducerSettingsReader.read(reader),
         )
 
     private fun addresses(reader: SectionReader): AddressSettings {
@@ -106,7 +106,7 @@
     /** The message of [failure] with the line that it is about. */
     fun fault(text: String, failure: SerializationException): SettingsFault {
         val message = failure.message.orEmpty().lineSequence().first()
-        val lines = JsonLines(text)
+        val lines = JsonLineIndex(text)
         val path = pathPattern.find(message)?.groupValues?.get(1).orEmpty()
         val offset = offsetPattern.find(message)?.groupValues?.get(1)?.toInt()
         return SettingsFault(offset?.let(lines::lineAt) ?: lines.lineOf(path), path, message)
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/telemetry/LogLines.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/telemetry/LogLines.kt
@@ -4,7 +4,7 @@
 import org.slf4j.Logger
 import org.slf4j.event.Level
 
-/** Writes the log lines that reducers ask for. */
+/** Writes log lines that a reducer requested as effects. */
 object LogLines {
     /** Writes [message] with [fields] in their order. */
     fun write(logger: Logger, level: LogLevel, message: String, fields: Map<String, String>) =
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/telemetry/Metrics.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/telemetry/Metrics.kt
@@ -13,7 +13,7 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.TimeUnit
 
-/** The process's metrics, kept by Micrometer and shown in the Prometheus format. */
+/** The metrics of the process, recorded with Micrometer and exported in the Prometheus format. */
 class Metrics :
     RequestObserver,
     PeerTraffic,
@@ -23,7 +23,7 @@
     private val registry = PrometheusMeterRegistry(PrometheusConfig.DEFAULT)
     private val counters = ConcurrentHashMap<CounterKey, Counter>()
     private val latencies = ConcurrentHashMap<CounterKey, Timer>()
-    private val reductions = Timer.builder("hibiscusreach.loop.event").register(registry)
+    private val eventTimer = Timer.builder("hibiscusreach.loop.event").register(registry)
 
     /** Adds [amount] to a counter with one label. */
     fun count(name: String, label: String, value: String, amount: Long) {
@@ -33,12 +33,12 @@
             }.increment(amount.toDouble())
     }
 
-    /** Shows the value of [read] under [name]. */
+    /** Registers the gauge [name], which reports the value of [read]. */
     fun gauge(name: String, read: () -> Number) {
         Gauge.builder(name) { read() }.register(registry)
     }
 
-    /** All metrics as text. */
+    /** All metrics in the Prometheus text format. */
     fun scrape(): String = registry.scrape()
 
     override fun answered(answer: CallerAnswer, nanos: Long) {
@@ -64,5 +64,5 @@
     override fun received(domain: String, bytes: Int) =
         count("hibiscusreach.peer.bytes.received", "domain", domain, bytes.toLong())
 
-    override fun reduced(event: Event, nanos: Long) = reductions.record(nanos, TimeUnit.NANOSECONDS)
+    override fun reduced(event: Event, nanos: Long) = eventTimer.record(nanos, TimeUnit.NANOSECONDS)
 }
--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/telemetry/ProxyTelemetry.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/telemetry/ProxyTelemetry.kt
@@ -4,7 +4,7 @@
 import dev.hibiscusreach.runtime.adapter.Telemetry
 import org.slf4j.LoggerFactory
 
-/** Log lines with fields through SLF4J, and counters. */
+/** Writes log lines with fields to SLF4J and counters to [Metrics]. */
 class ProxyTelemetry(private val metrics: Metrics) : Telemetry {
     private val logger = LoggerFactory.getLogger("dev.hibiscusreach.proxy")
 
--- a/runtime/src/test/kotlin/dev/hibiscusreach/runtime/Network.kt
+++ b/runtime/src/test/kotlin/dev/hibiscusreach/runtime/Network.kt
@@ -5,7 +5,7 @@
 import io.netty.channel.nio.NioIoHandler
 import java.util.concurrent.TimeUnit
 
-/** A network thread for one test. */
+/** Runs [action] with a Netty event loop group of one thread. */
 internal fun <T> withNetwork(action: (EventLoopGroup) -> T): T {
     val group = MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
     return try {
--- a/runtime/src/test/kotlin/dev/hibiscusreach/runtime/ProxyRuntimeTest.kt
+++ b/runtime/src/test/kotlin/dev/hibiscusreach/runtime/ProxyRuntimeTest.kt
@@ -35,7 +35,7 @@
             HttpResponse.BodyHandlers.ofString(),
         )
 
-    /** Guards against a process that cannot be observed, and against one that needs the platform to start. */
+    /** Guards against a process without monitoring data, and against one that needs the platform to start. */
     @Test
     fun `a process without a platform starts and shows its state`() =
         ProxyRuntime.start(settings()).use { proxy ->
@@ -51,9 +51,9 @@
             Unit
         }
 
-    /** Guards against input on the operations port that reaches the process. */
+    /** Guards against requests to the operations port that could change the state of the process. */
     @Test
-    fun `the operations endpoint only reads`() =
+    fun `the operations endpoint rejects methods other than GET`() =
         ProxyRuntime.start(settings()).use { proxy ->
             val request =
                 HttpRequest
--- a/runtime/src/test/kotlin/dev/hibiscusreach/runtime/RecordingSink.kt
+++ b/runtime/src/test/kotlin/dev/hibiscusreach/runtime/RecordingSink.kt
@@ -5,7 +5,7 @@
 import java.util.concurrent.LinkedBlockingQueue
 import java.util.concurrent.TimeUnit
 
-/** Keeps the events that adapters report. */
+/** Records the events that adapters submit. */
 internal class RecordingSink : EventSink {
     val events = LinkedBlockingQueue<Event>()
 
--- a/runtime/src/test/kotlin/dev/hibiscusreach/runtime/loop/EventLoopTest.kt
+++ b/runtime/src/test/kotlin/dev/hibiscusreach/runtime/loop/EventLoopTest.kt
@@ -44,7 +44,7 @@
         val loop = EventLoop(ProxyState.initial(settings), SystemClock(), ProxyReducer(listOf(recording)))
         val adapters =
             Adapters(
-                callers = { error("a defect of an adapter") },
+                callers = { error("adapter failure") },
                 sessions = unused<ServerSessions>(),
                 control = unused<ServerControl>(),
                 platform = unused<PlatformClient>(),
@@ -57,9 +57,9 @@
         }
     }
 
-    /** Guards against a paused process that handles old events before it notices the pause. */
+    /** Guards against a process that resumes after a pause and handles queued events before the overdue timers. */
     @Test
-    fun `timers that are due come before events that wait`() {
+    fun `due timers are handled before queued events`() {
         val blocked = CountDownLatch(1)
         val entered = CountDownLatch(1)
         val part = ReducerPart { state, event, _ ->
@@ -86,12 +86,12 @@
             .isEqualTo(Event.TimerFired(TimerKey.PoolPeriod))
     }
 
-    /** Guards against one event whose handling fails and that ends the process with all its requests. */
+    /** Guards against an exception for one event that ends the process and fails all its requests. */
     @Test
-    fun `the loop goes on after a defect`() {
+    fun `the loop continues after an event fails`() {
         val part = ReducerPart { state, event, _ ->
             when (event) {
-                Event.Started -> error("a defect of the reducer")
+                Event.Started -> error("reducer failure")
                 Event.DrainRequested -> Step(state, listOf(Effect.Exit))
                 else -> Step(state)
             }
--- a/runtime/src/test/kotlin/dev/hibiscusreach/runtime/peer/KtorPeerLinksTest.kt
+++ b/runtime/src/test/kotlin/dev/hibiscusreach/runtime/peer/KtorPeerLinksTest.kt
@@ -44,7 +44,7 @@
         override fun close() = links.close()
     }
 
-    /** A peer that reads and writes frames by hand. */
+    /** A peer that reads and writes raw frames. */
     private class RawPeer(socket: Socket) : AutoCloseable {
         private val socket = socket.apply { soTimeout = TIMEOUT_MILLIS }
         private val input = DataInputStream(socket.getInputStream())
@@ -76,13 +76,13 @@
     }
 
     private val ping = PeerMessage.Ping(sequence = 1, updates = emptyList(), generation = 0)
-    private val stranger =
+    private val remoteUpdate =
         PeerUpdate(NodeIdentity(Endpoint("127.0.0.1", 1), 9, 9), FailureDomainName("mayo"), PeerCondition.ALIVE)
 
     private fun withNodes(settings: PeerLinkSettings = PeerLinkSettings(), test: (Node, Node) -> Unit) =
         Node(settings).use { first -> Node(settings).use { second -> test(first, second) } }
 
-    private fun rawPeer(node: Node, hello: Hello? = Hello(LinkCodec.PROTOCOL_VERSION, stranger)): RawPeer {
+    private fun rawPeer(node: Node, hello: Hello? = Hello(LinkCodec.PROTOCOL_VERSION, remoteUpdate)): RawPeer {
         val endpoint = node.update.node.peerEndpoint
         return RawPeer(Socket(endpoint.address, endpoint.port)).apply {
             read()
@@ -139,13 +139,13 @@
     fun `a link that breaks is reported`(): Unit = Node(PeerLinkSettings()).use { node ->
         rawPeer(node).close()
         node.sink.next<Event.PeerIntroduced>()
-        expectThat(node.sink.next<Event.PeerUnreachable>().peer).isEqualTo(stranger.node)
+        expectThat(node.sink.next<Event.PeerUnreachable>().peer).isEqualTo(remoteUpdate.node)
     }
 
     /** Guards against a peer of another version whose messages are misread. */
     @Test
     fun `a peer of another protocol version is refused`(): Unit = Node(PeerLinkSettings()).use { node ->
-        rawPeer(node, Hello(LinkCodec.PROTOCOL_VERSION + 1, stranger)).use { peer ->
+        rawPeer(node, Hello(LinkCodec.PROTOCOL_VERSION + 1, remoteUpdate)).use { peer ->
             expectThat(peer.isClosed()).isTrue()
             expectThat(node.sink.events.size).isEqualTo(0)
         }
@@ -153,7 +153,7 @@
 
     /** Guards against memory that a frame's length field reserves, and against input that is not CBOR. */
     @Test
-    fun `oversized and unreadable frames close the link`(): Unit = Node(PeerLinkSettings()).use { node ->
+    fun `oversized and malformed frames close the link`(): Unit = Node(PeerLinkSettings()).use { node ->
         for (length in listOf(LinkCodec.MAXIMUM_FRAME_BYTES + 1, -1, 0)) {
             rawPeer(node).use { peer ->
                 peer.writeLength(length)
@@ -204,14 +204,14 @@
         }
     }
 
-    /** Guards against links that stay open but carry nothing any more. */
+    /** Guards against a link that stays open although the peer no longer answers. */
     @Test
-    fun `a link that went silent is closed and opened again`() {
+    fun `a link on which the peer stops answering is closed and opened again`() {
         val settings = PeerLinkSettings(checkPeriod = 50.milliseconds, silenceLimit = 200.milliseconds)
         Node(settings).use { node ->
             ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress()).use { server ->
                 val identity = NodeIdentity(Endpoint("127.0.0.1", server.localPort), 1, 1)
-                val hello = LinkCodec.encode(Hello(LinkCodec.PROTOCOL_VERSION, stranger.copy(node = identity)))
+                val hello = LinkCodec.encode(Hello(LinkCodec.PROTOCOL_VERSION, remoteUpdate.copy(node = identity)))
                 val accepted = thread { repeat(2) { RawPeer(server.accept()).write(hello) } }
                 repeat(2) {
                     node.send(identity, ping)
@@ -229,8 +229,8 @@
         rawPeer(node).use {
             node.sink.next<Event.PeerIntroduced>()
             val large = PeerMessage.ConfigurationDelivered(Configuration(), listOf("x".repeat(500_000)))
-            repeat(60) { node.send(stranger.node, large) }
-            expectThat(node.sink.next<Event.PeerUnreachable>().peer).isEqualTo(stranger.node)
+            repeat(60) { node.send(remoteUpdate.node, large) }
+            expectThat(node.sink.next<Event.PeerUnreachable>().peer).isEqualTo(remoteUpdate.node)
         }
     }
 
--- a/runtime/src/test/kotlin/dev/hibiscusreach/runtime/platform/HttpPlatformClientTest.kt
+++ b/runtime/src/test/kotlin/dev/hibiscusreach/runtime/platform/HttpPlatformClientTest.kt
@@ -34,9 +34,9 @@
     private fun answered(request: PlatformCall, response: String?): PlatformAnswer =
         ScriptedServer { _, _ -> response }.use { call(request, it.endpoint) }
 
-    /** Guards against answers that are mistaken for one another; a conflict is no failure, and a failure no absence. */
+    /** Guards against confused outcomes: a conflict is not a failure, and a failure does not mean a missing object. */
     @Test
-    fun `answers are told apart`() {
+    fun `responses are mapped to distinct answers`() {
         expectThat(answered(get, found)).isEqualTo(PlatformAnswer.Found("group/jobs", "{}", version = 4))
         expectThat(answered(get, response(404))).isEqualTo(PlatformAnswer.Missing("group/jobs"))
         expectThat(answered(put, response(200, """{"version":4}""")))
@@ -78,7 +78,7 @@
         working.close()
     }
 
-    /** Guards against more calls at a platform that limits their rate. */
+    /** Guards against retries that add load to a platform that already limits the call rate. */
     @Test
     fun `a call over the rate limit is not repeated`() {
         val limiting = ScriptedServer { _, _ -> response(429) }
--- a/runtime/src/test/kotlin/dev/hibiscusreach/runtime/settings/SettingsFileTest.kt
+++ b/runtime/src/test/kotlin/dev/hibiscusreach/runtime/settings/SettingsFileTest.kt
@@ -44,7 +44,7 @@
         expectThat(keys).isEqualTo(14 + 8 + 10 + 7 + 11 + 14)
     }
 
-    /** Guards against settings that the decisions never get. */
+    /** Guards against settings that are read but do not reach the reducer. */
     @Test
     fun `settings reach the reducer`() {
         val text = required.dropLast(1) + """, "request": {"drainLimitMillis": 77}, "seedAddresses": ["10.0.0.1:1"]}"""
@@ -54,7 +54,7 @@
         expectThat(proxy.seeds).isEqualTo(listOf(Endpoint("10.0.0.1", 1)))
     }
 
-    /** Guards against an operator who has to correct one fault after the other. */
+    /** Guards against a parser that stops at the first fault, so that operators must correct them one by one. */
     @Test
     fun `all faults are reported at once with their lines`() {
         val text =
@@ -90,7 +90,7 @@
         ).forEach { expected -> expectThat(found).any { contains(expected) } }
     }
 
-    /** Guards against a process that starts with a part of its settings. */
+    /** Guards against a process that starts with incomplete settings. */
     @Test
     fun `missing settings and files that are not JSON are reported`() {
         expectThat(faults("{}")).hasSize(6).any { contains("tokenKey: is missing") }
