--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/platform/HttpPlatformClient.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/platform/HttpPlatformClient.kt
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit
 import java.util.concurrent.atomic.AtomicInteger
 
-/** Calls to the platform over HTTP/1.1 with JSON. If an endpoint fails, the next one is tried. */
+/** Calls to the platform over HTTP/1.1 with JSON. Tries the next endpoint after a failure if a retry is safe. */
 class HttpPlatformClient(
     group: EventLoopGroup,
     private val endpoints: List<Endpoint>,
