--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/platform/HttpPlatformClient.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/platform/HttpPlatformClient.kt
@@ -21,7 +21,7 @@
     private val endpoints: List<Endpoint>,
     private val sink: EventSink = EventSink {},
 ) : PlatformClient {
-    private val caller = HttpClient(group, MAXIMUM_RESPONSE_BYTES)
+    private val httpClient = HttpClient(group, MAXIMUM_RESPONSE_BYTES)
 
     // The endpoint that answered last is asked first.
     private val preferred = AtomicInteger()
@@ -34,7 +34,7 @@
         Attempts(request, timeout, done).next(PlatformAnswer.Failed("no platform endpoint is configured"))
     }
 
-    override fun close() = caller.close()
+    override fun close() = httpClient.close()
 
     private inner class Attempts(
         private val request: PlatformCall,
@@ -56,7 +56,7 @@
             // Splits the remaining time among the endpoints, so that one that never answers leaves time for the next.
             val limit = if (request is PlatformCall.Watch) remaining else remaining / (endpoints.size - attempts + 1)
             val call = PlatformWire.httpCall(request, endpoints[index], Millis(maxOf(1, limit)))
-            caller.call(call) { answered(index, it) }
+            httpClient.call(call) { answered(index, it) }
         }
 
         private fun answered(index: Int, outcome: HttpOutcome) {
