--- a/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementDeadlines.kt
+++ b/sessions/src/main/kotlin/dev/hibiscusreach/sessions/part/StatementDeadlines.kt
@@ -92,7 +92,7 @@
         val kind = if (writes && began) ErrorKind.OUTCOME_UNKNOWN else ErrorKind.DEADLINE_EXCEEDED
         reduction.log("statement timed out", "request" to pending.identifier, "server" to server)
         ConnectionCheckout
-            .heldBy(pending)
+            .connectionOf(pending)
             ?.let { reduction.state.connections[it] }
             ?.let { ConnectionPools.close(reduction, it) }
         val inTransaction = session.transaction !is Transaction.None
