--- a/runtime/src/main/kotlin/dev/hibiscusreach/runtime/platform/HttpPlatformClient.kt
+++ b/runtime/src/main/kotlin/dev/hibiscusreach/runtime/platform/HttpPlatformClient.kt
@@ -43,18 +43,18 @@
     ) {
         private val startedAt = System.nanoTime()
         private val first = preferred.get()
-        private var attempts = 0
+        private var attempted = 0
 
         fun next(previous: PlatformAnswer.Failed) {
             val remaining = timeout.value - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt)
-            if (attempts < endpoints.size && remaining > 0) attempt(remaining) else done(previous)
+            if (attempted < endpoints.size && remaining > 0) attempt(remaining) else done(previous)
         }
 
         private fun attempt(remaining: Long) {
-            val index = (first + attempts) % endpoints.size
-            attempts++
+            val index = (first + attempted) % endpoints.size
+            attempted++
             // Splits the remaining time among the endpoints, so that one that never answers leaves time for the next.
-            val limit = if (request is PlatformCall.Watch) remaining else remaining / (endpoints.size - attempts + 1)
+            val limit = if (request is PlatformCall.Watch) remaining else remaining / (endpoints.size - attempted + 1)
             val call = PlatformWire.httpCall(request, endpoints[index], Millis(maxOf(1, limit)))
             httpClient.call(call) { answered(index, it) }
         }
